--- a/bamboospring/platform/entries.py
+++ b/bamboospring/platform/entries.py
@@ -16,8 +16,8 @@
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import Freshness
 from bamboospring.sessions.model import GroupLimits
+from bamboospring.sessions.model import ListedTarget
 from bamboospring.sessions.model import Route
-from bamboospring.sessions.model import TargetNews
 from bamboospring.sessions.model import Team
 
 __all__ = [
@@ -122,12 +122,12 @@
         groups={
             each.name: GroupLimits(
                 name=each.name,
-                connections=each.maxConnections,
-                receipts=each.syncReplicas,
+                max_connections=each.maxConnections,
+                sync_replicas=each.syncReplicas,
             )
             for each in raw.services
         },
-        idle_transaction=raw.limits.transactionIdleMs / 1000,
+        transaction_idle_timeout=raw.limits.transactionIdleMs / 1000,
         teams=_teams(raw.tenants),
         keys=_keys(raw.tenants or []),
     )
@@ -182,7 +182,7 @@
     )
 
 
-def read_target(found: Found) -> TargetNews | None:
+def read_target(found: Found) -> ListedTarget | None:
     """Read a target's entry; None if it names nothing to use.
 
     Entries may come from other writers: fields missing or of another type,
@@ -197,7 +197,7 @@
         return None
     if raw.databaseRole not in ROLES:
         return None
-    return TargetNews(
+    return ListedTarget(
         target=Target(
             name=found.name,
             address=raw.address,
--- a/bamboospring/platform/target_lines.py
+++ b/bamboospring/platform/target_lines.py
@@ -32,7 +32,7 @@
 from bamboospring.sessions.ports import Shape
 from bamboospring.sessions.ports import StepDown
 from bamboospring.sessions.ports import TargetReply
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.statements import Position
 from bamboospring.target_link import Health
 from bamboospring.target_link import Opened
@@ -274,7 +274,7 @@
     return f"{mode}{digest.hexdigest()}"
 
 
-def _read_report(rows: list[str]) -> Report | None:
+def _read_report(rows: list[str]) -> TargetReport | None:
     """Read a target's place in its group; None if it can't be read.
 
     The fields are role, term, position received, term held, lag in
@@ -286,11 +286,11 @@
     try:
         role, term, received, held, lag, _busy, connections = fields[:7]
         position = read_position(received) or Position()
-        return Report(
-            leads=role == "primary",
+        return TargetReport(
+            is_primary=role == "primary",
             term=int(term),
             received_term=position.term,
-            received=position.index,
+            received_index=position.index,
             held_term=int(held) if held != "-" else 0,
             lag=float(lag) / 1000 if lag != "-" else 0.0,
             connections=int(connections),
--- a/bamboospring/sessions/access.py
+++ b/bamboospring/sessions/access.py
@@ -71,7 +71,7 @@
 
 def is_confirmed(board: SessionBoard, sent_at: float) -> bool:
     """Tell whether keys may be used for what was sent at an instant."""
-    if board.key_life is None:
+    if board.key_lifetime is None:
         return True
-    life = board.key_life * (1 - LIFE_MARGIN)
+    life = board.key_lifetime * (1 - LIFE_MARGIN)
     return sent_at < board.catalog_confirmed_at + life
--- a/bamboospring/sessions/attempt.py
+++ b/bamboospring/sessions/attempt.py
@@ -119,7 +119,7 @@
         assert self.leased is not None
         run = self.run
         runner, job = run.runner, run.job
-        view = run.group.view(self.target)
+        view = run.group.observed_target(self.target)
         now = self.sent_at = runner.reactor.now()
         if self._needs_proof() and not run.group.proof.covers(now):
             # Waited for a connection for longer than the proof held.
@@ -130,7 +130,7 @@
             run.failed(self, refusal, again=True, free=True)
             return
         self.sent = True
-        view.outstanding += 1
+        view.in_flight += 1
         after = self.choice.after if run.tx is None else None
         run.story.sent(
             self.target,
@@ -141,9 +141,9 @@
             run.tx.wrote = run.tx.wrote or job.writes
 
         def answered(result: list[TargetReply] | LinkLost) -> None:
-            view.outstanding -= 1
+            view.in_flight -= 1
             if isinstance(result, LinkLost):
-                view.failed()
+                view.record_failure()
                 self._lost(result)
             else:
                 self._answered(result[0])
@@ -190,7 +190,7 @@
             reply, self.target, self.choice.at_replica
         )
         if run.job.writes and run.tx is None:
-            if not run.group.stands(self.target, now):
+            if not run.group.is_answer_valid(self.target, now):
                 outcome = Unknown(reason=Reason.PRIMARY_CHANGED)
         run.served(self, outcome, reply.position)
 
--- a/bamboospring/sessions/catalog_keeper.py
+++ b/bamboospring/sessions/catalog_keeper.py
@@ -53,17 +53,17 @@
         platform: PlatformClient,
         kind: str,
         name: str,
-        read: Callable[[Found], Catalog | None],
+        decode_catalog: Callable[[Found], Catalog | None],
         on_changed: Callable[[], None],
     ) -> None:
         self._board = board
         self._name = name
-        self._read = read
+        self._read = decode_catalog
         self._on_changed = on_changed
         self.stored_as = 0
         # Whether a newer version is known that the store would not show. It
         # may be large, so that it is passed on by others only then.
-        self.unreachable = False
+        self.refresh_failed = False
         self._platform = platform
         self._kind = kind
         self._relayed_until = -1e9
@@ -75,7 +75,7 @@
         self._older = 0
         self._value: Any = None
         self._bytes: bytes | None = None
-        self.leading: Callable[[], bool] = lambda: False
+        self.is_leader: Callable[[], bool] = lambda: False
         self._watch = KindWatch(
             reactor=reactor,
             platform=platform,
@@ -102,7 +102,7 @@
         """Follow from now on."""
         self._watch.set_watching(True)
 
-    def take_relayed(
+    def apply_relayed(
         self,
         version: int,
         checked_at: float,
@@ -120,7 +120,7 @@
         self._watch.set_watching(False)
         if data and version > self.version:
             self._take_data(data)
-            self.unreachable = False
+            self.refresh_failed = False
         if version <= self.version:
             self._relayed_at = max(self._relayed_at, checked_at)
             self._confirm(confirmed_at)
@@ -161,14 +161,14 @@
 
     def _refreshed(self, result: Changes | Unavailable) -> None:
         self._refreshing = False
-        self.unreachable = isinstance(result, Unavailable)
+        self.refresh_failed = isinstance(result, Unavailable)
         if isinstance(result, Changes):
             self._take(result.objects)
             self._confirm_read(self._refresh_asked_at)
 
     def _wait_ms(self) -> int:
-        key_life = self._board.key_life
-        if key_life is None or not self.leading():
+        key_life = self._board.key_lifetime
+        if key_life is None or not self.is_leader():
             return WATCH_MS
         return min(WATCH_MS, round(key_life * LEADER_WATCH_PART * 1000))
 
--- a/bamboospring/sessions/catalog_passing.py
+++ b/bamboospring/sessions/catalog_send_limiter.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["CatalogPassing"]
+__all__ = ["CatalogSendLimiter"]
 
 LARGEST_PASSED_BYTES = 64 * 1024
 # A fifth of a link of 10 Mbit/s.
@@ -22,12 +22,12 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class CatalogPassing:
+class CatalogSendLimiter:
     """Bounds the bytes a second of what is passed on."""
 
     _free_at: float = -1e9
 
-    def take(self, catalog: bytes, now: float) -> bytes:
+    def data_to_send(self, catalog: bytes, now: float) -> bytes:
         """Return the configuration if it may be sent now, else nothing."""
         if len(catalog) > LARGEST_PASSED_BYTES or now < self._free_at:
             return b""
--- a/bamboospring/sessions/finisher.py
+++ b/bamboospring/sessions/change_finisher.py
@@ -9,20 +9,20 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.finish import finished_record
-from bamboospring.sessions.finish import is_overdue
-from bamboospring.sessions.finish import takes_part
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.group_records import encode_record
+from bamboospring.sessions.group_records import RECORD_KIND
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
+from bamboospring.sessions.model import SessionGroup
+from bamboospring.sessions.overdue_change import finished_record
+from bamboospring.sessions.overdue_change import is_overdue
+from bamboospring.sessions.overdue_change import takes_part
 from bamboospring.sessions.ports import AskReport
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proof_release import ProofReleases
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.questions import NoReport
 from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.records import encode_record
-from bamboospring.sessions.records import RECORD_KIND
-from bamboospring.sessions.release import Releases
 from bamboospring.store_version import version_text
 
 __all__ = ["ChangeFinisher"]
@@ -47,7 +47,7 @@
         platform: PlatformClient,
         questions: TargetQuestions,
         records: RecordKeeper,
-        releases: Releases,
+        releases: ProofReleases,
         draw: int,
     ) -> None:
         self._reactor = reactor
@@ -62,7 +62,7 @@
 
     def tick(self) -> None:
         """Look at the groups whose change is overdue."""
-        if not takes_part(self._draw, self._board.vms):
+        if not takes_part(self._draw, self._board.vm_count):
             return
         now = self._reactor.now()
         for group in self._board.groups.values():
@@ -73,16 +73,16 @@
                 self._looked_at[group.name] = now
                 self._look(group)
 
-    def _look(self, group: GroupView) -> None:
-        record = group.leadership
+    def _look(self, group: SessionGroup) -> None:
+        record = group.record
         assert record is not None
         others = [name for name in group.targets if name != record.primary]
-        reports: dict[str, Report] = {}
+        reports: dict[str, TargetReport] = {}
         left = set(others)
 
-        def heard(name: str, result: Report | NoReport) -> None:
+        def heard(name: str, result: TargetReport | NoReport) -> None:
             left.discard(name)
-            if isinstance(result, Report):
+            if isinstance(result, TargetReport):
                 reports[name] = result
             if not left:
                 self._busy.discard(group.name)
@@ -101,18 +101,18 @@
 
     def _judge(
         self,
-        group: GroupView,
-        record: Leadership,
-        reports: dict[str, Report],
+        group: SessionGroup,
+        record: PrimaryRecord,
+        reports: dict[str, TargetReport],
     ) -> None:
-        if group.leadership is not record:
+        if group.record is not record:
             # Another record has come in meanwhile.
             return
         finished = finished_record(record, reports)
         if finished is not None:
             self._store(finished)
 
-    def _store(self, record: Leadership) -> None:
+    def _store(self, record: PrimaryRecord) -> None:
         def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
         ) -> None:
@@ -127,7 +127,7 @@
             if isinstance(result, Stored):
                 self._releases.publish(record, result.version)
             else:
-                self._records.doubt(record.group)
+                self._records.request_read(record.group)
 
         self._platform.put(
             RECORD_KIND,
--- a/bamboospring/sessions/forwarded_statement.py
+++ b/bamboospring/sessions/forwarded_statement.py
@@ -75,11 +75,11 @@
         """Send the statement to the holder."""
         run = self.run
         runner = run.runner
-        view = run.group.view(self.target)
+        view = run.group.observed_target(self.target)
         now = self.sent_at = runner.reactor.now()
         self.sent = True
         self.number = next(_numbers)
-        view.outstanding += 1
+        view.in_flight += 1
         run.story.sent(
             self.target,
             after=self.choice.after,
@@ -131,8 +131,8 @@
     def _answered(self, answer: Any) -> None:
         self.over = True
         run = self.run
-        view = run.group.view(self.target)
-        view.outstanding -= 1
+        view = run.group.observed_target(self.target)
+        view.in_flight -= 1
         if isinstance(answer, PeerLost):
             self._holder_lost(answer)
             return
@@ -141,7 +141,7 @@
             case NotRun() | Overloaded():
                 self._not_run(result)
             case LinkLost(silent=silent):
-                view.failed()
+                view.record_failure()
                 reason = Reason.DEADLINE if silent else Reason.ANSWER_LOST
                 again = not silent and not run.job.writes
                 run.failed(self, Unknown(reason=reason), again=again)
@@ -195,7 +195,9 @@
             outcome: SessionOutcome = served_from(
                 reply, self.target, self.choice.at_replica
             )
-            if run.job.writes and not run.group.stands(self.target, now):
+            if run.job.writes and not run.group.is_answer_valid(
+                self.target, now
+            ):
                 outcome = Unknown(reason=Reason.PRIMARY_CHANGED)
             run.served(self, outcome, reply.position)
             return
--- a/bamboospring/sessions/records.py
+++ b/bamboospring/sessions/group_records.py
@@ -10,8 +10,8 @@
 
 from bamboospring import logs
 from bamboospring.object_store import Found
-from bamboospring.sessions.model import Change
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.model import PendingChange
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.store_version import version_text
 
 __all__ = ["RECORD_KIND", "encode_record", "read_record"]
@@ -38,7 +38,7 @@
     era: int = 0
 
 
-def encode_record(record: Leadership) -> dict[str, Any]:
+def encode_record(record: PrimaryRecord) -> dict[str, Any]:
     """Return the value to store."""
     change = record.change
     return {
@@ -59,7 +59,7 @@
     }
 
 
-def read_record(found: Found) -> Leadership | None:
+def read_record(found: Found) -> PrimaryRecord | None:
     """Read a stored record; None, with a log line, if it is none."""
     try:
         raw = _Record.model_validate(found.value)
@@ -73,7 +73,7 @@
         )
         return None
     change = raw.change
-    return Leadership(
+    return PrimaryRecord(
         group=found.name,
         version=found.version,
         term=raw.term,
@@ -82,7 +82,7 @@
         change=(
             None
             if change is None
-            else Change(
+            else PendingChange(
                 term=change.term,
                 vm=change.vm,
                 nonce=change.nonce,
--- a/bamboospring/sessions/holder_server.py
+++ b/bamboospring/sessions/holder_server.py
@@ -23,8 +23,8 @@
 from bamboospring.sessions.held_messages import HeldStatement
 from bamboospring.sessions.link_setup import link_merit
 from bamboospring.sessions.link_setup import orders_before
+from bamboospring.sessions.model import ListedTarget
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.model import TargetNews
 from bamboospring.sessions.ports import LinkLost
 from bamboospring.sessions.ports import Order
 from bamboospring.sessions.ports import Refusal
@@ -85,7 +85,7 @@
         self._held[key] = held
         held.start()
 
-    def _news_of(self, statement: HeldStatement) -> TargetNews | None:
+    def _news_of(self, statement: HeldStatement) -> ListedTarget | None:
         """Return the target that was meant; None if it is not to be used."""
         if self.board.draining:
             return None
@@ -133,7 +133,7 @@
 
     server: HolderServer
     statement: HeldStatement
-    news: TargetNews
+    news: ListedTarget
     on_done: Callable[[HeldResult], None]
     deadline: float = 0.0
     patient_until: float = 0.0
--- a/bamboospring/sessions/leader.py
+++ b/bamboospring/sessions/leader.py
@@ -12,28 +12,28 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.changes import Changes
-from bamboospring.sessions.duty import Duty
-from bamboospring.sessions.finisher import ChangeFinisher
-from bamboospring.sessions.judgement import first_record
-from bamboospring.sessions.judgement import judge
-from bamboospring.sessions.judgement import PrimarySight
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.change_finisher import ChangeFinisher
+from bamboospring.sessions.group_records import encode_record
+from bamboospring.sessions.group_records import RECORD_KIND
+from bamboospring.sessions.leader_lease import LeaderLease
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import PromotionOrders
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.primary_health import first_record
+from bamboospring.sessions.primary_health import PrimarySight
+from bamboospring.sessions.primary_health import replacement_cause
+from bamboospring.sessions.proof_release import ProofReleases
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.questions import NoReport
 from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.quota_holders import QuotaVm
 from bamboospring.sessions.quota_keeper import QuotaKeeper
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.records import encode_record
-from bamboospring.sessions.records import RECORD_KIND
-from bamboospring.sessions.release import Releases
-from bamboospring.sessions.settler import Settler
-from bamboospring.sessions.takeover import Cause
+from bamboospring.sessions.record_settler import Settler
+from bamboospring.sessions.takeover import TakeoverCause
+from bamboospring.sessions.takeover_runner import TakeoverRunner
 from bamboospring.sessions.vm_registry import ListedVm
 from bamboospring.sessions.vm_registry import VmRegistry
 
@@ -71,7 +71,7 @@
         orders: PromotionOrders,
         missing_since: Callable[[str], float | None],
         registry: VmRegistry,
-        releases: Releases,
+        releases: ProofReleases,
         timing: LeaseTiming,
     ) -> None:
         self._reactor = reactor
@@ -91,14 +91,14 @@
             reactor=reactor,
             board=board,
             platform=platform,
-            confirmed_at=lambda: records.holders_confirmed_at,
+            confirmed_at=lambda: records.quota_holders_confirmed_at,
         )
-        self.duty = Duty(
+        self.lease = LeaderLease(
             reactor=reactor,
             board=board,
             platform=platform,
             records=records,
-            address=registry.me.address,
+            address=registry.local_vm.address,
             timing=timing,
             on_changed=self._lease_changed,
         )
@@ -109,9 +109,9 @@
             questions=questions,
             records=records,
             releases=releases,
-            draw=zlib.crc32(registry.me.nonce.encode()),
+            draw=zlib.crc32(registry.local_vm.nonce.encode()),
         )
-        self._changes = Changes(
+        self._changes = TakeoverRunner(
             reactor=reactor,
             board=board,
             platform=platform,
@@ -119,7 +119,7 @@
             records=records,
             releases=releases,
             orders=orders,
-            duty=self.duty,
+            lease=self.lease,
             on_ended=self._change_ended,
         )
         self._settler = Settler(
@@ -128,7 +128,7 @@
             questions=questions,
             records=records,
             releases=releases,
-            leads=lambda: self.duty.leads,
+            leads=lambda: self.lease.leads,
             on_settled=self._changes.put_right,
             on_disagreed=self._replace_unsettled,
         )
@@ -140,8 +140,8 @@
     def _tick(self) -> None:
         # Armed first: a fault in one round must not end all that follow.
         self._reactor.call_later(TICK, self._tick)
-        self.duty.step()
-        if self.duty.leads:
+        self.lease.step()
+        if self.lease.leads:
             self._lead()
             self._quotas.settle()
             self._tidy()
@@ -157,7 +157,7 @@
         else:
             self._changes.drop_all()
 
-    def _change_ended(self, group: GroupView) -> None:
+    def _change_ended(self, group: SessionGroup) -> None:
         self._sights.pop(group.name, None)
         self._begin_after[group.name] = self._reactor.now() + TRY_AGAIN
 
@@ -171,8 +171,10 @@
 
         def listed(vms: dict[str, ListedVm] | None) -> None:
             if vms is not None:
-                self._releases.tell_leading(self.duty.lease().version)
-                self._board.vms = max(1, len(vms))
+                self._releases.tell_leading(
+                    self.lease.last_seen_lease().version
+                )
+                self._board.vm_count = max(1, len(vms))
                 self._registry.remove_lapsed(now)
                 self._quotas.update(map(_as_quota_vm, vms.values()))
 
@@ -183,19 +185,23 @@
         for group in list(self._board.groups.values()):
             if not group.targets or self._changes.tick(group):
                 continue
-            if group.leadership is None:
+            if group.record is None:
                 self._record_first(group)
             elif group.unsettled is not None:
                 self._settler.tick(group)
             else:
-                self._watch(group, group.leadership, now)
+                self._watch(group, group.record, now)
 
-    def _replace_unsettled(self, group: GroupView, record: Leadership) -> None:
+    def _replace_unsettled(
+        self, group: SessionGroup, record: PrimaryRecord
+    ) -> None:
         now = self._reactor.now()
         if now >= self._begin_after.get(group.name, -1e9):
-            self._changes.begin(group, record, Cause.UNSETTLED, now)
+            self._changes.begin(group, record, TakeoverCause.UNSETTLED, now)
 
-    def _watch(self, group: GroupView, record: Leadership, now: float) -> None:
+    def _watch(
+        self, group: SessionGroup, record: PrimaryRecord, now: float
+    ) -> None:
         sight = self._sight(group, record)
         sight.missing_at = self._missing_since(record.primary)
         if record.primary not in group.targets and sight.missing_at is None:
@@ -205,16 +211,16 @@
         if self._should_look(group, record, sight, now):
             self._looked_at[group.name] = now
             self._look(group, record, sight, now)
-        cause = judge(group, sight, now)
+        cause = replacement_cause(group, sight, now)
         if cause is None or now < self._begin_after.get(group.name, -1e9):
             return
         self._changes.begin(group, record, cause, now)
 
     def _take_connections(
-        self, group: GroupView, record: Leadership, sight: PrimarySight
+        self, group: SessionGroup, record: PrimaryRecord, sight: PrimarySight
     ) -> None:
         """Take what connections have shown: a word, none, or refusals."""
-        heard_at = group.view(record.primary).heard_at
+        heard_at = group.observed_target(record.primary).last_response_at
         if sight.asked_at is not None and heard_at > sight.asked_at:
             sight.heard()
         news = group.targets.get(record.primary)
@@ -226,8 +232,8 @@
 
     def _should_look(
         self,
-        group: GroupView,
-        record: Leadership,
+        group: SessionGroup,
+        record: PrimaryRecord,
         sight: PrimarySight,
         now: float,
     ) -> bool:
@@ -243,12 +249,14 @@
             return looked >= LOOK_INTERVAL
         sample = group.samples.newest()
         age = now - sample.asked_at if sample is not None else LOOK_INTERVAL
-        heard = now - group.view(record.primary).heard_at
+        heard = now - group.observed_target(record.primary).last_response_at
         if max(heard, age) < LOOK_INTERVAL:
             return looked >= ROLE_INTERVAL
         return looked >= LOOK_INTERVAL
 
-    def _sight(self, group: GroupView, record: Leadership) -> PrimarySight:
+    def _sight(
+        self, group: SessionGroup, record: PrimaryRecord
+    ) -> PrimarySight:
         found = self._sights.get(group.name)
         if found is None or found[0] != record.primary:
             found = (record.primary, PrimarySight())
@@ -257,17 +265,17 @@
 
     def _look(
         self,
-        group: GroupView,
-        record: Leadership,
+        group: SessionGroup,
+        record: PrimaryRecord,
         sight: PrimarySight,
         now: float,
     ) -> None:
-        def heard(result: Report | NoReport) -> None:
-            if isinstance(result, Report):
+        def heard(result: TargetReport | NoReport) -> None:
+            if isinstance(result, TargetReport):
                 sight.heard()
-                sight.lost_role = not result.leads
+                sight.lost_role = not result.is_primary
                 return
-            last = group.view(record.primary).heard_at
+            last = group.observed_target(record.primary).last_response_at
             if result.busy or last >= now:
                 sight.heard()
                 return
@@ -282,7 +290,7 @@
             group, record.primary, AskReport(), LOOK_TIMEOUT, heard
         )
 
-    def _record_first(self, group: GroupView) -> None:
+    def _record_first(self, group: SessionGroup) -> None:
         """Record the primary of a group that has no record yet.
 
         Not before the records were read: a group that has one must keep it.
@@ -297,8 +305,12 @@
             return
         self._begin_after[group.name] = now + TRY_AGAIN
 
-        def heard(result: Report | NoReport) -> None:
-            if isinstance(result, Report) and result.leads and self.duty.leads:
+        def heard(result: TargetReport | NoReport) -> None:
+            if (
+                isinstance(result, TargetReport)
+                and result.is_primary
+                and self.lease.leads
+            ):
                 record = first_record(group, term=result.term, era=era)
                 if record is not None:
                     self._store_first(record)
@@ -307,11 +319,11 @@
             group, draft.primary, AskReport(), LOOK_TIMEOUT, heard
         )
 
-    def _store_first(self, record: Leadership) -> None:
+    def _store_first(self, record: PrimaryRecord) -> None:
         def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
         ) -> None:
-            self._records.doubt(record.group)
+            self._records.request_read(record.group)
 
         self._platform.put(
             RECORD_KIND,
--- a/bamboospring/sessions/duty.py
+++ b/bamboospring/sessions/leader_lease.py
@@ -28,13 +28,13 @@
 from bamboospring.object_store import Found
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
+from bamboospring.sessions.group_records import RECORD_KIND
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.records import RECORD_KIND
 from bamboospring.store_version import era_of
 from bamboospring.store_version import version_text
 
-__all__ = ["Duty", "Holder", "LEASE_NAME"]
+__all__ = ["LeaderLease", "LeaseHolder", "LEASE_NAME"]
 
 LEASE_NAME = "lease"
 # VMs that would take a free lease do so this many ranks apart at most.
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Holder:
+class LeaseHolder:
     """Who holds the lease, by its own word; `version` is the lease's."""
 
     vm: str
@@ -51,7 +51,7 @@
     version: int
 
 
-class Duty:
+class LeaderLease:
     """This VM's part in the lease under which changes are led."""
 
     def __init__(
@@ -69,7 +69,7 @@
         self._board = board
         self._platform = platform
         self._on_changed = on_changed
-        self._told = Holder(vm="", address="", version=0)
+        self._told = LeaseHolder(vm="", address="", version=0)
         nonce = secrets.token_hex(8)
         self._keeper = LeaseKeeper(
             bucket=0,
@@ -81,7 +81,7 @@
         self._rank = zlib.crc32(nonce.encode()) % RANKS
         self._awaiting_read = False
         self._led = False
-        records.leading = lambda: self.leads
+        records.is_leader = lambda: self.leads
         records.on_other = self._lease_seen
         records.on_read = self._records_read
 
@@ -99,7 +99,7 @@
         """Tell whether this VM may act at least until an instant."""
         return self._keeper.holds(instant)
 
-    def holds_for_others(self) -> int:
+    def blocks_others(self) -> int:
         """Return 1 while others wait for our lease to end."""
         return int(self._keeper.blocks_others(self._reactor.now()))
 
@@ -116,7 +116,7 @@
             return self._told.address
         return self._keeper.address()
 
-    def told_of(self, holder: Holder) -> None:
+    def record_holder(self, holder: LeaseHolder) -> None:
         """Take from a VM that it has taken the lease.
 
         A VM that can't read the store finds its way to the new leader's
@@ -125,11 +125,11 @@
         if holder.version > self._told.version:
             self._told = holder
 
-    def lease(self) -> Lease:
+    def last_seen_lease(self) -> Lease:
         """Return the lease as last seen."""
         return self._keeper.as_lease()
 
-    def lease_relayed(
+    def apply_relayed(
         self, version: int, duration: float, asked_at: float
     ) -> None:
         """Take from its holder that the lease has this version now.
--- a/bamboospring/sessions/model.py
+++ b/bamboospring/sessions/model.py
@@ -14,21 +14,21 @@
 from bamboospring.sessions.proofs import Proof
 from bamboospring.sessions.quota_holders import QuotaHolders
 from bamboospring.statements import Position
-from bamboospring.store_version import Restorable
-from bamboospring.store_version import Unsettled
+from bamboospring.store_version import UnsettledState
+from bamboospring.store_version import VersionedState
 
 __all__ = [
     "Catalog",
-    "Change",
+    "PendingChange",
     "Freshness",
     "GroupLimits",
-    "GroupView",
-    "Leadership",
+    "SessionGroup",
+    "PrimaryRecord",
     "Outgoing",
     "Route",
     "SessionBoard",
-    "TargetNews",
-    "TargetView",
+    "ListedTarget",
+    "ObservedTarget",
     "Team",
 ]
 
@@ -102,8 +102,8 @@
     """
 
     name: str
-    connections: int
-    receipts: int = 0
+    max_connections: int
+    sync_replicas: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -118,7 +118,7 @@
     version: int
     routes: dict[str, Route] = field(default_factory=dict)
     groups: dict[str, GroupLimits] = field(default_factory=dict)
-    idle_transaction: float = 3.0
+    transaction_idle_timeout: float = 3.0
     teams: dict[str, Team] | None = None
     keys: dict[str, str] = field(default_factory=dict)
     least_urgent: dict[str, int] = field(init=False)
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetNews:
+class ListedTarget:
     """What a target says of itself in the platform's list.
 
     `leads` is its own belief that it is the primary; a primary that is
@@ -147,7 +147,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Change:
+class PendingChange:
     """A change of primary that has begun and is not recorded as done.
 
     `term` is what the targets are told to hold; `vm` and `nonce` name the
@@ -163,17 +163,17 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Leadership(Restorable):
+class PrimaryRecord(VersionedState):
     """What has been agreed of a group's primary."""
 
     group: str
     term: int
     primary: str
-    change: Change | None = None
+    change: PendingChange | None = None
 
 
 @dataclass(slots=True, kw_only=True)
-class TargetView:
+class ObservedTarget:
     """What this process has seen of one life of a target.
 
     `applied` is the newest position that the target has shown, at
@@ -181,25 +181,27 @@
     more than that. `heard_at` is when it last answered anything.
     """
 
-    outstanding: int = 0
+    in_flight: int = 0
     latency: float = FIRST_LATENCY
-    trouble: float = 0.0
+    failure_score: float = 0.0
     applied: Position = Position()
     applied_at: float = -1e9
     behind_until: float = -1e9
-    heard_at: float = -1e9
+    last_response_at: float = -1e9
 
-    def answered(self, seconds: float, now: float) -> None:
+    def record_answer(self, seconds: float, now: float) -> None:
         """Note a good answer after `seconds`."""
         self.latency += LATENCY_SMOOTHING * (seconds - self.latency)
-        self.trouble -= TROUBLE_DECAY * self.trouble
-        self.heard_at = now
+        self.failure_score -= TROUBLE_DECAY * self.failure_score
+        self.last_response_at = now
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Note an answer that was lost, or told of a fault of the target."""
-        self.trouble = min(MOST_TROUBLE, self.trouble + TROUBLE_STEP)
+        self.failure_score = min(
+            MOST_TROUBLE, self.failure_score + TROUBLE_STEP
+        )
 
-    def shows(self, position: Position, now: float) -> None:
+    def record_applied(self, position: Position, now: float) -> None:
         """Note a position that the target has shown."""
         if position >= self.applied:
             self.applied = position
@@ -218,42 +220,42 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class GroupView:
+class SessionGroup:
     """A group: what is agreed of it and what was seen of its targets."""
 
     name: str
-    leadership: Leadership | None = None
-    unsettled: Unsettled | None = None
+    record: PrimaryRecord | None = None
+    unsettled: UnsettledState | None = None
     proof: Proof = field(default_factory=Proof)
     samples: SampleLog = field(default_factory=SampleLog)
-    targets: dict[str, TargetNews] = field(default_factory=dict)
-    views: dict[str, TargetView] = field(default_factory=dict)
-    outgoing: Outgoing | None = None
-    changing: bool = False
+    targets: dict[str, ListedTarget] = field(default_factory=dict)
+    observed_targets: dict[str, ObservedTarget] = field(default_factory=dict)
+    outgoing_primary: Outgoing | None = None
+    is_changing: bool = False
     change_seen_at: float = -1e9
     settled_at: float = -1e9
 
-    def view(self, name: str) -> TargetView:
+    def observed_target(self, name: str) -> ObservedTarget:
         """Return what was seen of a target, creating an empty view."""
-        found = self.views.get(name)
+        found = self.observed_targets.get(name)
         if found is None:
-            found = self.views[name] = TargetView()
+            found = self.observed_targets[name] = ObservedTarget()
         return found
 
-    def primary(self) -> TargetNews | None:
+    def primary(self) -> ListedTarget | None:
         """Return the agreed primary, None while it is being changed."""
-        agreed = self.leadership
+        agreed = self.record
         if agreed is None or agreed.change is not None:
             return None
         return self.targets.get(agreed.primary)
 
-    def expected_at(self, change_time: float) -> float | None:
+    def change_expected_at(self, change_time: float) -> float | None:
         """Return when a change under way should be over, None if none is."""
-        if self.changing:
+        if self.is_changing:
             return self.change_seen_at + change_time
         return None
 
-    def proof_due_at(self, now: float) -> float | None:
+    def first_proof_due_at(self, now: float) -> float | None:
         """Return when a new primary's first proof should have come.
 
         None if there is a proof, or if it is overdue.
@@ -263,7 +265,7 @@
             return None
         return due
 
-    def learn(
+    def record_position(
         self, target: str, position: Position, sent_at: float, now: float
     ) -> None:
         """Take a position that a target has shown in an answer.
@@ -271,18 +273,18 @@
         What a proven primary shows holds every commit acknowledged before it
         was asked, and so is a sample of the group's log.
         """
-        self.view(target).shows(position, now)
+        self.observed_target(target).record_applied(position, now)
         news = self.primary()
         if news is not None and news.target.name == target:
             if self.proof.covers(sent_at):
                 self.samples.add(sent_at, position)
 
-    def stands(self, target: str, now: float) -> bool:
+    def is_answer_valid(self, target: str, now: float) -> bool:
         """Tell whether what a target has just answered counts.
 
         It does if no other primary can have been promoted by now.
         """
-        outgoing = self.outgoing
+        outgoing = self.outgoing_primary
         if outgoing is not None and outgoing.target == target:
             return outgoing.proof.covers(now)
         news = self.primary()
@@ -308,13 +310,13 @@
     availability_zone: str
     catalog: Catalog | None = None
     catalog_confirmed_at: float = -1e9
-    key_life: float | None = None
+    key_lifetime: float | None = None
     quota_holders: QuotaHolders | None = None
-    quota_unsettled: Unsettled | None = None
-    groups: dict[str, GroupView] = field(default_factory=dict)
+    quota_unsettled: UnsettledState | None = None
+    groups: dict[str, SessionGroup] = field(default_factory=dict)
     targets_seen_at: float = -1e9
-    change_time: float = FIRST_CHANGE_TIME
-    vms: int = FEWEST_VMS
+    change_duration: float = FIRST_CHANGE_TIME
+    vm_count: int = FEWEST_VMS
     draining: bool = False
 
     def is_urgent(self, route: Route) -> bool:
@@ -324,11 +326,11 @@
         least = self.catalog.least_urgent.get(route.group, route.urgency)
         return route.urgency < least
 
-    def group(self, name: str) -> GroupView:
+    def group(self, name: str) -> SessionGroup:
         """Return the view of a group, creating an empty one."""
         found = self.groups.get(name)
         if found is None:
-            found = self.groups[name] = GroupView(name=name)
+            found = self.groups[name] = SessionGroup(name=name)
         return found
 
     def route(self, database: str) -> Route | None:
--- a/bamboospring/sessions/node.py
+++ b/bamboospring/sessions/node.py
@@ -40,6 +40,7 @@
 from bamboospring.sessions.outside import Outside
 from bamboospring.sessions.ports import CallerChannel
 from bamboospring.sessions.ports import SessionLink
+from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.quota_client import QuotaClient
 from bamboospring.sessions.quota_counter import QuotaCounter
@@ -47,7 +48,6 @@
 from bamboospring.sessions.readiness import unreadiness
 from bamboospring.sessions.record_keeper import RecordKeeper
 from bamboospring.sessions.relay import FactRelay
-from bamboospring.sessions.release import Releases
 from bamboospring.sessions.runner import StatementRunner
 from bamboospring.sessions.session import Session
 from bamboospring.sessions.session_metrics import SessionMetrics
@@ -110,7 +110,7 @@
         self.board = SessionBoard(
             vm=cfg.vm,
             availability_zone=cfg.availability_zone,
-            key_life=_key_life(cfg),
+            key_lifetime=_key_life(cfg),
         )
         self.metrics = SessionMetrics(board=self.board)
         self.platform = PlatformClient(
@@ -140,7 +140,7 @@
         self.metrics.watch_node(
             pools=self.pools,
             platform=self.platform,
-            duty=self.leader.duty,
+            duty=self.leader.lease,
             listener=self.callers,
             holder_server=self.holder_server,
             now=self.reactor.now,
@@ -168,7 +168,7 @@
         self.registry = VmRegistry(
             reactor=self.reactor,
             platform=self.platform,
-            me=ListedVm(
+            local_vm=ListedVm(
                 name=self.cfg.vm,
                 address=self.cfg.peers,
                 availability_zone=self.cfg.availability_zone,
@@ -182,9 +182,9 @@
             platform=self.platform,
             pools=self.pools,
             kind=outside.target_kind,
-            read=outside.read_target,
-            leaving_limit=self.cfg.timing.target_leaving_ms / 1000,
-            holders=self.holders,
+            decode_target=outside.read_target,
+            leaving_timeout=self.cfg.timing.target_leaving_ms / 1000,
+            zone_holders=self.holders,
         )
         self.catalog = CatalogKeeper(
             reactor=self.reactor,
@@ -192,8 +192,8 @@
             platform=self.platform,
             kind=outside.catalog_kind,
             name=outside.catalog_name,
-            read=outside.read_catalog,
-            on_changed=self.targets.apply_bounds,
+            decode_catalog=outside.read_catalog,
+            on_changed=self.targets.apply_connection_limits,
         )
         self.questions = TargetQuestions(
             reactor=self.reactor, pools=self.pools
@@ -203,10 +203,10 @@
             board=self.board,
             platform=self.platform,
             questions=self.questions,
-            may_take_proofs=self.registry.may_take_proofs,
-            on_failed=self._primary_failed,
+            can_take_proofs=self.registry.can_take_proofs,
+            on_primary_failed=self._primary_failed,
         )
-        self.releases = Releases(
+        self.releases = ProofReleases(
             reactor=self.reactor,
             board=self.board,
             peers=self.peers,
@@ -231,7 +231,7 @@
             ),
         )
 
-        self.catalog.leading = lambda: self.leader.duty.leads
+        self.catalog.is_leader = lambda: self.leader.lease.leads
         self.quota_counter = QuotaCounter(
             reactor=self.reactor,
             board=self.board,
@@ -241,7 +241,7 @@
                 address=self.cfg.peers,
                 availability_zone=self.cfg.availability_zone,
             ),
-            confirmed_at=lambda: self.records.holders_confirmed_at,
+            confirmed_at=lambda: self.records.quota_holders_confirmed_at,
             tolerance=Tolerance(
                 window=self.cfg.limits.team_window_ms / 1000,
                 overage=self.cfg.limits.team_overage,
@@ -253,7 +253,7 @@
             board=self.board,
             peers=self.peers,
             registry=self.registry,
-            duty=self.leader.duty,
+            duty=self.leader.lease,
             records=self.records,
             targets=self.targets,
             catalog=self.catalog,
@@ -274,7 +274,7 @@
             pools=self.pools,
             budget=RetryBudget(percent=cfg.limits.retry_percent),
             teller=StoryTeller(on_told=self.metrics.told),
-            doubt=self.records.doubt,
+            doubt=self.records.request_read,
             peers=self.peers,
             holders=self.holders,
             quotas=QuotaClient(
@@ -303,7 +303,7 @@
             board=self.board,
             callers=self.callers,
             grace=cfg.timing.grace_ms / 1000,
-            held=self.leader.duty.holds_for_others,
+            held=self.leader.lease.blocks_others,
         ).register(self)
 
     def _primary_failed(self, group: str, primary: str) -> None:
@@ -409,7 +409,7 @@
 
     def _take_settings(self, cfg: SessionSettings) -> None:
         self.cfg = cfg
-        self.board.key_life = _key_life(cfg)
+        self.board.key_lifetime = _key_life(cfg)
         logs.configure_node(level=cfg.logs.level, vm=cfg.vm)
 
 
--- a/bamboospring/sessions/opening.py
+++ b/bamboospring/sessions/opening.py
@@ -68,7 +68,7 @@
     group = board.group(route.group)
     if running > STARTING:
         return None
-    if group.leadership is None or not group.targets:
+    if group.record is None or not group.targets:
         return _wait(held)
     return None
 
--- a/bamboospring/sessions/outside.py
+++ b/bamboospring/sessions/outside.py
@@ -13,7 +13,7 @@
 from bamboospring.reactor import Listener
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.model import Catalog
-from bamboospring.sessions.model import TargetNews
+from bamboospring.sessions.model import ListedTarget
 from bamboospring.sessions.opening import Admit
 from bamboospring.sessions.ports import CallerChannel
 from bamboospring.sessions.ports import PromotionOrders
@@ -49,7 +49,7 @@
     target_kind: str
     readiness_path: str
     read_catalog: Callable[[Found], Catalog | None]
-    read_target: Callable[[Found], TargetNews | None]
+    read_target: Callable[[Found], ListedTarget | None]
     make_dialer: Callable[[Reactor, Target, str], Dialer[Any]]
     make_orders: Callable[[Reactor, str], PromotionOrders]
     make_listener: Callable[[Reactor, str, Admit, MakeSession], CallerListener]
--- a/bamboospring/sessions/finish.py
+++ b/bamboospring/sessions/overdue_change.py
@@ -19,9 +19,9 @@
 
 from collections.abc import Mapping
 
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.model import PrimaryRecord
+from bamboospring.sessions.model import SessionGroup
+from bamboospring.sessions.proofs import TargetReport
 
 __all__ = ["FINISHERS", "finished_record", "is_overdue", "takes_part"]
 
@@ -33,9 +33,9 @@
 FINISHERS = 4
 
 
-def is_overdue(group: GroupView, now: float) -> bool:
+def is_overdue(group: SessionGroup, now: float) -> bool:
     """Tell whether the leader of a group's change should be done by now."""
-    agreed = group.leadership
+    agreed = group.record
     if agreed is None or agreed.change is None:
         return False
     return now >= group.change_seen_at + OVERDUE_AFTER
@@ -47,19 +47,19 @@
 
 
 def finished_record(
-    record: Leadership, reports: Mapping[str, Report]
-) -> Leadership | None:
+    record: PrimaryRecord, reports: Mapping[str, TargetReport]
+) -> PrimaryRecord | None:
     """Return the record that ends a change, None if it can't be ended yet.
 
     A change of a record that may not be the newest has perhaps ended long ago.
     """
-    if record.change is None or not record.current:
+    if record.change is None or not record.is_current:
         return None
     named = record.change.candidate
     report = reports.get(named)
-    if report is None or not report.leads or report.term <= record.term:
+    if report is None or not report.is_primary or report.term <= record.term:
         return None
-    return Leadership(
+    return PrimaryRecord(
         group=record.group,
         version=record.version,
         term=report.term,
--- a/bamboospring/sessions/ports.py
+++ b/bamboospring/sessions/ports.py
@@ -17,7 +17,7 @@
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Unknown
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.statements import Position
 from bamboospring.target_link import TargetLink
 
@@ -347,7 +347,7 @@
     message: str = ""
     state: SessionState = SessionState.IDLE
     position: Position | None = None
-    report: Report | None = None
+    report: TargetReport | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/bamboospring/sessions/judgement.py
+++ b/bamboospring/sessions/primary_health.py
@@ -7,11 +7,11 @@
 
 from dataclasses import dataclass
 
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
-from bamboospring.sessions.takeover import Cause
+from bamboospring.sessions.model import PrimaryRecord
+from bamboospring.sessions.model import SessionGroup
+from bamboospring.sessions.takeover import TakeoverCause
 
-__all__ = ["PrimarySight", "first_record", "judge"]
+__all__ = ["PrimarySight", "first_record", "replacement_cause"]
 
 # A primary that has answered nothing for so many seconds, though it was
 # asked, has failed. A busy one answers somebody meanwhile, and one that lives
@@ -50,28 +50,30 @@
         self.refused_at = None
 
 
-def judge(group: GroupView, sight: PrimarySight, now: float) -> Cause | None:
+def replacement_cause(
+    group: SessionGroup, sight: PrimarySight, now: float
+) -> TakeoverCause | None:
     """Return why the group needs another primary now, or None."""
-    record = group.leadership
+    record = group.record
     if record is None:
         return None
     if record.change is not None:
-        return Cause.UNFINISHED
+        return TakeoverCause.UNFINISHED
     if sight.lost_role:
-        return Cause.ROLE_LOST
+        return TakeoverCause.ROLE_LOST
     if _longer(sight.refused_at, REFUSED_AFTER, now):
-        return Cause.FAILED
+        return TakeoverCause.FAILED
     if _longer(sight.refused_since, REFUSED_AFTER, now):
-        return Cause.FAILED
+        return TakeoverCause.FAILED
     if _longer(sight.asked_at, SILENT_AFTER, now):
-        return Cause.FAILED
+        return TakeoverCause.FAILED
     if _longer(sight.unanswered_since, SILENT_AFTER, now):
-        return Cause.FAILED
+        return TakeoverCause.FAILED
     if _longer(sight.missing_at, GONE_AFTER, now):
-        return Cause.GONE
+        return TakeoverCause.GONE
     news = group.targets.get(record.primary)
     if news is not None and news.leaving and _has_other(group, record):
-        return Cause.LEAVING
+        return TakeoverCause.LEAVING
     return None
 
 
@@ -79,7 +81,7 @@
     return since is not None and now - since >= seconds
 
 
-def _has_other(group: GroupView, record: Leadership) -> bool:
+def _has_other(group: SessionGroup, record: PrimaryRecord) -> bool:
     return any(
         not news.leaving
         for name, news in group.targets.items()
@@ -88,8 +90,8 @@
 
 
 def first_record(
-    group: GroupView, *, term: int, era: int
-) -> Leadership | None:
+    group: SessionGroup, *, term: int, era: int
+) -> PrimaryRecord | None:
     """Return the record of a group that has none yet, for an era of the store.
 
     Only where exactly one target says that it leads: two would mean a change
@@ -98,7 +100,7 @@
     leaders = [name for name, news in group.targets.items() if news.leads]
     if len(leaders) != 1:
         return None
-    return Leadership(
+    return PrimaryRecord(
         group=group.name,
         version=0,
         term=term,
--- a/bamboospring/sessions/release.py
+++ b/bamboospring/sessions/proof_release.py
@@ -20,18 +20,18 @@
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.group_records import encode_record
+from bamboospring.sessions.group_records import read_record
+from bamboospring.sessions.group_records import RECORD_KIND
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.records import encode_record
-from bamboospring.sessions.records import read_record
-from bamboospring.sessions.records import RECORD_KIND
 from bamboospring.sessions.vm_registry import ListedVm
 from bamboospring.sessions.vm_registry import VmRegistry
 from bamboospring.store_version import version_text
 
-__all__ = ["Releases"]
+__all__ = ["ProofReleases"]
 
 # Seconds for a VM's answer.
 TIMEOUT = 0.7
@@ -41,7 +41,7 @@
 RECHECK = 0.01
 
 
-class Releases:
+class ProofReleases:
     """Tells other VMs of records, and lets go when told of a change."""
 
     def __init__(
@@ -61,7 +61,7 @@
         peers.handle("recordNews", self._on_news)
 
     def ask_all(
-        self, record: Leadership, on_released: Callable[[], None]
+        self, record: PrimaryRecord, on_released: Callable[[], None]
     ) -> None:
         """Have every VM let go; calls back only if all of them have.
 
@@ -78,17 +78,17 @@
 
         self._registry.refresh(listed)
 
-    def publish(self, record: Leadership, version: int) -> None:
+    def publish(self, record: PrimaryRecord, version: int) -> None:
         """Take a record without a change that was stored, and tell all VMs.
 
         Any VM may have stored it; only one that leads knows the others.
         """
         stored = dataclasses.replace(record, version=version)
-        self._records.take(stored)
-        self._records.doubt(record.group)
+        self._records.apply(stored)
+        self._records.request_read(record.group)
         self._registry.refresh(lambda _vms: self.tell_all(stored))
 
-    def tell_all(self, record: Leadership) -> None:
+    def tell_all(self, record: PrimaryRecord) -> None:
         """Tell all VMs of a record; those that miss it read it later."""
         for vm in self._registry.vms.values():
             if vm.name != self._board.vm:
@@ -101,7 +101,7 @@
         message = envelope()
         leading = message.init("leading")
         leading.vm = self._board.vm
-        leading.address = self._registry.me.address
+        leading.address = self._registry.local_vm.address
         leading.version = version
         others = [
             vm.address
@@ -112,7 +112,7 @@
 
     def _ask_listed(
         self,
-        record: Leadership,
+        record: PrimaryRecord,
         vms: list[ListedVm],
         on_released: Callable[[], None],
     ) -> None:
@@ -168,10 +168,10 @@
         )
         if record is None:
             return
-        self._records.take(record)
+        self._records.apply(record)
         if record.change is None:
             # A record by word of mouth is no proof; the store gives one.
-            self._records.doubt(record.group)
+            self._records.request_read(record.group)
 
         def done() -> None:
             answer = envelope()
@@ -184,29 +184,29 @@
 
     def _let_go(
         self,
-        group: GroupView,
-        record: Leadership,
+        group: SessionGroup,
+        record: PrimaryRecord,
         on_done: Callable[[], None],
     ) -> None:
         """Stop using the old primary, once what is under way is answered."""
         until = self._reactor.now() + GRACE
 
         def check() -> None:
-            outgoing = group.outgoing
-            known = group.leadership
+            outgoing = group.outgoing_primary
+            known = group.record
             same = known is not None and known.version == record.version
             if same and record.change is not None and outgoing is not None:
-                busy = group.view(outgoing.target).outstanding > 0
+                busy = group.observed_target(outgoing.target).in_flight > 0
                 if busy and self._reactor.now() < until:
                     self._reactor.call_later(RECHECK, check)
                     return
-                group.outgoing = None
+                group.outgoing_primary = None
             on_done()
 
         check()
 
 
-def _news(record: Leadership) -> Any:
+def _news(record: PrimaryRecord) -> Any:
     message = envelope()
     message.init("recordNews").record = orjson.dumps(
         {
--- a/bamboospring/sessions/proofs.py
+++ b/bamboospring/sessions/proofs.py
@@ -21,16 +21,22 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-__all__ = ["PROOF_LIFE", "Proof", "Report", "PROMOTION_WAIT", "others_agree"]
+__all__ = [
+    "PROOF_LIFETIME",
+    "Proof",
+    "TargetReport",
+    "PROMOTION_WAIT",
+    "others_agree",
+]
 
 # Seconds for which a proof holds. Records are read about every second, so
 # that one lost answer costs nothing; longer makes a change of primary wait
 # longer where a process cannot be asked to let go of its proof.
-PROOF_LIFE = 2.0
+PROOF_LIFETIME = 2.0
 # Seconds that a change waits between the moment at which new proofs have
 # become impossible and the promotion. Longer than a proof lives by what the
 # clocks' rates may differ, 5 %.
-PROMOTION_WAIT = PROOF_LIFE * 1.05
+PROMOTION_WAIT = PROOF_LIFETIME * 1.05
 
 NEVER = -1e9
 
@@ -45,27 +51,27 @@
         """Take a newer proof; an older one changes nothing."""
         self.asked_at = max(self.asked_at, asked_at)
 
-    def void(self) -> None:
+    def invalidate(self) -> None:
         """Forget all proofs, since the record has changed."""
         self.asked_at = NEVER
 
     def covers(self, instant: float) -> bool:
         """Tell whether nobody else was primary at an instant."""
-        return instant < self.asked_at + PROOF_LIFE
+        return instant < self.asked_at + PROOF_LIFETIME
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Report:
+class TargetReport:
     """What a target says of its place in its group.
 
     `held_term` is the term above which it takes nothing from a primary, 0 if
     it holds none; `received` is the number of its newest entry.
     """
 
-    leads: bool
+    is_primary: bool
     term: int
     received_term: int
-    received: int
+    received_index: int
     held_term: int = 0
     lag: float = 0.0
     connections: int = 0
@@ -77,7 +83,9 @@
 
 
 def others_agree(
-    others: Iterable[str], reports: Mapping[str, Report | None], term: int
+    others: Iterable[str],
+    reports: Mapping[str, TargetReport | None],
+    term: int,
 ) -> bool:
     """Tell whether no other target of a group has gone beyond a term.
 
@@ -93,7 +101,7 @@
         report = reports[name]
         if report is None:
             continue
-        if report.leads or report.newest_term > term:
+        if report.is_primary or report.newest_term > term:
             return False
         heard += 1
     return heard > 0
--- a/bamboospring/sessions/questions.py
+++ b/bamboospring/sessions/questions.py
@@ -12,7 +12,7 @@
 from bamboospring.pool import Leased
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.model import GroupView
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import HoldTerm
 from bamboospring.sessions.ports import LinkLost
@@ -20,7 +20,7 @@
 from bamboospring.sessions.ports import SessionLink
 from bamboospring.sessions.ports import StepDown
 from bamboospring.sessions.ports import TargetReply
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proofs import TargetReport
 
 __all__ = ["NoReport", "Question", "TargetQuestions"]
 
@@ -43,7 +43,7 @@
     busy: bool = False
 
 
-OnReport = Callable[[Report | NoReport], None]
+OnReport = Callable[[TargetReport | NoReport], None]
 
 
 class TargetQuestions:
@@ -70,7 +70,7 @@
 
     def ask(
         self,
-        group: GroupView,
+        group: SessionGroup,
         name: str,
         question: Question,
         timeout: float,
@@ -107,10 +107,10 @@
                 on_report(NoReport())
                 return
             now = self._reactor.now()
-            group.view(name).heard_at = now
+            group.observed_target(name).last_response_at = now
             reply = result[0]
             if reply.position is not None:
-                group.learn(name, reply.position, sent_at, now)
+                group.record_position(name, reply.position, sent_at, now)
             if reply.report is None:
                 on_report(NoReport(busy=True))
                 return
--- a/bamboospring/sessions/quota_holders.py
+++ b/bamboospring/sessions/quota_holders.py
@@ -24,8 +24,8 @@
 from dataclasses import dataclass
 
 from bamboospring.rendezvous import rank
-from bamboospring.store_version import Restorable
-from bamboospring.store_version import Unsettled
+from bamboospring.store_version import UnsettledState
+from bamboospring.store_version import VersionedState
 
 __all__ = [
     "CONFIRMED_FOR",
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class QuotaHolders(Restorable):
+class QuotaHolders(VersionedState):
     """What is stored: the VMs that count, and during a change the old ones."""
 
     vms: tuple[QuotaVm, ...]
@@ -82,7 +82,7 @@
 
 def settled_holders(
     known: QuotaHolders,
-    unsettled: Unsettled,
+    unsettled: UnsettledState,
     *,
     confirmed_at: float,
     returned_at: float,
--- a/bamboospring/sessions/quota_keeper.py
+++ b/bamboospring/sessions/quota_keeper.py
@@ -18,12 +18,12 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
+from bamboospring.sessions.group_records import RECORD_KIND
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.quota_holders import next_holders
 from bamboospring.sessions.quota_holders import QuotaHolders
 from bamboospring.sessions.quota_holders import QuotaVm
 from bamboospring.sessions.quota_holders import settled_holders
-from bamboospring.sessions.records import RECORD_KIND
 from bamboospring.store_version import version_text
 
 __all__ = [
--- a/bamboospring/sessions/readiness.py
+++ b/bamboospring/sessions/readiness.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.proofs import PROOF_LIFE
+from bamboospring.sessions.proofs import PROOF_LIFETIME
 
 __all__ = ["unreadiness"]
 
 # Proofs that have lapsed for longer than this, in seconds, mean that this VM
 # is cut off while others may not be.
-LAPSED = PROOF_LIFE + 1.0
+LAPSED = PROOF_LIFETIME + 1.0
 # The part of a key's life without confirmation after which callers had better
 # go where they will be served also when it is over.
 UNCONFIRMED_PART = 0.6
@@ -25,13 +25,13 @@
         return "leaving"
     if board.catalog is None:
         return "no catalog yet"
-    if board.catalog.teams is not None and board.key_life is not None:
+    if board.catalog.teams is not None and board.key_lifetime is not None:
         unconfirmed = now - board.catalog_confirmed_at
-        if unconfirmed > UNCONFIRMED_PART * board.key_life:
+        if unconfirmed > UNCONFIRMED_PART * board.key_lifetime:
             return "no key can be confirmed soon"
     wanted = {route.group for route in board.catalog.routes.values()}
     groups = [board.groups[name] for name in wanted if name in board.groups]
-    known = [group for group in groups if group.leadership is not None]
+    known = [group for group in groups if group.record is not None]
     if groups and not known:
         return "no record of any group yet"
     settled = [group for group in known if group.primary() is not None]
--- a/bamboospring/sessions/record_keeper.py
+++ b/bamboospring/sessions/record_keeper.py
@@ -19,42 +19,42 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.group_records import encode_record
+from bamboospring.sessions.group_records import read_record
+from bamboospring.sessions.group_records import RECORD_KIND
 from bamboospring.sessions.model import Outgoing
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.proofs import others_agree
 from bamboospring.sessions.proofs import Proof
-from bamboospring.sessions.proofs import PROOF_LIFE
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proofs import PROOF_LIFETIME
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.questions import NoReport
 from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.quota_holders import QuotaHolders
 from bamboospring.sessions.quota_keeper import decode_holders
 from bamboospring.sessions.quota_keeper import encode_holders
 from bamboospring.sessions.quota_keeper import HOLDERS_NAME
-from bamboospring.sessions.records import encode_record
-from bamboospring.sessions.records import read_record
-from bamboospring.sessions.records import RECORD_KIND
-from bamboospring.sessions.takeover import Cause
+from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.store_version import era_of
-from bamboospring.store_version import Unsettled
+from bamboospring.store_version import UnsettledState
 from bamboospring.store_version import version_text
 
 __all__ = ["RecordKeeper"]
 
 # Seconds between two reads of the records: a proof then outlives one read
 # that is lost, and is renewed by the next.
-INTERVAL = PROOF_LIFE * 0.45
+INTERVAL = PROOF_LIFETIME * 0.45
 # The leader passes its proofs on, which takes them as long again to age.
-LEADER_INTERVAL = PROOF_LIFE * 0.25
-TIMEOUT = PROOF_LIFE * 0.35
+LEADER_INTERVAL = PROOF_LIFETIME * 0.25
+TIMEOUT = PROOF_LIFETIME * 0.35
 # Reads made because something spoke against a record are this far apart.
 DOUBT_INTERVAL = 0.15
 # A proof of this age, in seconds, is renewed by asking the targets.
-RENEW_BY_TARGETS = PROOF_LIFE * 0.68
-TARGETS_TIMEOUT = PROOF_LIFE * 0.28
+RENEW_BY_TARGETS = PROOF_LIFETIME * 0.68
+TARGETS_TIMEOUT = PROOF_LIFETIME * 0.28
 CHECK_INTERVAL = 0.2
 
 # The estimate of how long a change takes follows each one by this part, and
@@ -62,7 +62,9 @@
 CHANGE_SMOOTHING = 0.5
 LONGEST_CHANGE = 3.0
 # Changes for these causes mean that the old primary answers nothing more.
-FAILED_CAUSES = frozenset({Cause.FAILED.value, Cause.GONE.value})
+FAILED_CAUSES = frozenset(
+    {TakeoverCause.FAILED.value, TakeoverCause.GONE.value}
+)
 
 # A record as it is passed on: its name, version and value, and the era in
 # which the store does not show it; 0: it does.
@@ -81,11 +83,11 @@
         board: SessionBoard,
         platform: PlatformClient,
         questions: TargetQuestions,
-        may_take_proofs: Callable[[float], bool],
-        on_failed: Callable[[str, str], None],
+        can_take_proofs: Callable[[float], bool],
+        on_primary_failed: Callable[[str, str], None],
     ) -> None:
-        self._on_failed = on_failed
-        self._may_take_proofs = may_take_proofs
+        self._on_failed = on_primary_failed
+        self._may_take_proofs = can_take_proofs
         self._reactor = reactor
         self._board = board
         self._platform = platform
@@ -97,11 +99,11 @@
         self._due = 0.0
         self.read_at = -1e9
         # When the choice of who counts was last surely the newest.
-        self.holders_confirmed_at = -1e9
+        self.quota_holders_confirmed_at = -1e9
         self.reachable = True
         self._relayed_until = -1e9
         self._bytes: bytes | None = None
-        self.leading: Callable[[], bool] = lambda: False
+        self.is_leader: Callable[[], bool] = lambda: False
         self.on_other: OnOther | None = None
         # Called with when the store was asked, and its era.
         self.on_read: Callable[[float, int], None] | None = None
@@ -110,7 +112,7 @@
         """Read now and from then on."""
         self._tick()
 
-    def doubt(self, group: str) -> None:
+    def request_read(self, group: str) -> None:
         """Read soon: something speaks against the record of a group."""
         self._doubted = True
         soon = max(self._reactor.now(), self._asked_at + DOUBT_INTERVAL)
@@ -124,9 +126,9 @@
         """Return all records as they are passed on to other VMs."""
         if self._bytes is None:
             agreed = [
-                group.leadership
+                group.record
                 for _name, group in sorted(self._board.groups.items())
-                if group.leadership is not None
+                if group.record is not None
             ]
             rows: list[RecordRow] = [
                 (r.group, r.version, encode_record(r), self._era_without(r))
@@ -141,7 +143,7 @@
             self._bytes = orjson.dumps(rows)
         return self._bytes
 
-    def take_relayed(
+    def apply_relayed(
         self,
         rows: list[RecordRow] | None,
         asked_at: float,
@@ -166,8 +168,8 @@
         if self._board.quota_unsettled is None:
             self._confirm_holders(asked_at)
         for group in self._board.groups.values():
-            if group.leadership is not None and group.unsettled is None:
-                self.take(group.leadership, asked_at)
+            if group.record is not None and group.unsettled is None:
+                self.apply(group.record, asked_at)
 
     def read_directly(self) -> None:
         """Read the store again: nobody passes records on."""
@@ -175,22 +177,24 @@
         self._due = min(self._due, self._reactor.now())
         self._ask_if_due()
 
-    def take(self, record: Leadership, asked_at: float | None = None) -> None:
+    def apply(
+        self, record: PrimaryRecord, asked_at: float | None = None
+    ) -> None:
         """Take a record in; with `asked_at` it also is a proof.
 
         One that may not be the newest proves nothing, but is used, by the word
         of the targets, where none is known that was stored later.
         """
         group = self._board.group(record.group)
-        known = group.leadership
-        if known is not None and record.order < known.order:
-            if not record.current:
+        known = group.record
+        if known is not None and record.sort_key < known.sort_key:
+            if not record.is_current:
                 self._unsettle(group, era_of(record.version), record.version)
             # Otherwise it was overtaken on the way by a newer one.
             return
-        if known is None or record.order > known.order:
+        if known is None or record.sort_key > known.sort_key:
             self._replace(group, record)
-        if not record.current:
+        if not record.is_current:
             self._unsettle(group, era_of(record.version), record.version)
             return
         self._settle(group, record)
@@ -205,13 +209,13 @@
         else:
             self._unsettle(self._board.group(name), era, 0)
 
-    def _unsettle(self, group: GroupView, era: int, version: int) -> None:
+    def _unsettle(self, group: SessionGroup, era: int, version: int) -> None:
         """Note that in an era the store shows no record of that era."""
-        known = group.leadership
+        known = group.record
         if known is not None and known.era >= era:
             return
         before = group.unsettled
-        unsettled = Unsettled(era=era, version=version)
+        unsettled = UnsettledState(era=era, version=version)
         if before is not None and (before.era, before.version) >= (
             era,
             version,
@@ -229,32 +233,32 @@
                 known_version=version_text(known.version if known else 0),
             )
 
-    def _settle(self, group: GroupView, record: Leadership) -> None:
+    def _settle(self, group: SessionGroup, record: PrimaryRecord) -> None:
         unsettled = group.unsettled
         if unsettled is not None and record.era >= unsettled.era:
             group.unsettled = None
             self._bytes = None
 
-    def _era_without(self, record: Leadership) -> int:
+    def _era_without(self, record: PrimaryRecord) -> int:
         """Return the era in which the store has not this record; 0: it has."""
         unsettled = self._board.group(record.group).unsettled
         return unsettled.era if unsettled is not None else 0
 
-    def _replace(self, group: GroupView, record: Leadership) -> None:
-        known = group.leadership
+    def _replace(self, group: SessionGroup, record: PrimaryRecord) -> None:
+        known = group.record
         same = (
             known is not None
             and known.primary == record.primary
             and known.term == record.term
         )
         self._bytes = None
-        group.leadership = record
+        group.record = record
         if record.change is not None:
             self._close(group, known, record)
         else:
             self._open(group, record)
         if not same:
-            group.proof.void()
+            group.proof.invalidate()
             group.samples.clear()
         logs.log_event(
             "record",
@@ -268,24 +272,24 @@
 
     def _close(
         self,
-        group: GroupView,
-        known: Leadership | None,
-        record: Leadership,
+        group: SessionGroup,
+        known: PrimaryRecord | None,
+        record: PrimaryRecord,
     ) -> None:
         """Use the primary no more; what is under way may still be answered.
 
         Nobody promotes another one before our proof has lapsed, or before we
         have said that we let go of it.
         """
-        if not group.changing:
+        if not group.is_changing:
             group.change_seen_at = self._reactor.now()
-        group.changing = True
+        group.is_changing = True
         if known is not None and known.change is None:
-            group.outgoing = Outgoing(
+            group.outgoing_primary = Outgoing(
                 target=known.primary,
                 proof=Proof(asked_at=group.proof.asked_at),
             )
-        group.proof.void()
+        group.proof.invalidate()
 
         change = record.change
         if change is not None and change.cause in FAILED_CAUSES:
@@ -294,16 +298,16 @@
                 0, lambda: self._on_failed(group.name, record.primary)
             )
 
-    def _open(self, group: GroupView, record: Leadership) -> None:
+    def _open(self, group: SessionGroup, record: PrimaryRecord) -> None:
         """Go on with the primary of a record without a change."""
-        group.outgoing = None
+        group.outgoing_primary = None
         group.settled_at = self._reactor.now()
-        if group.changing:
+        if group.is_changing:
             took = self._reactor.now() - group.change_seen_at
-            self._board.change_time += CHANGE_SMOOTHING * (
-                min(took, LONGEST_CHANGE) - self._board.change_time
+            self._board.change_duration += CHANGE_SMOOTHING * (
+                min(took, LONGEST_CHANGE) - self._board.change_duration
             )
-        group.changing = False
+        group.is_changing = False
 
     def _tick(self) -> None:
         # Armed first: a fault in one round must not end all that follow.
@@ -320,7 +324,7 @@
         self._doubted = False
         self._busy = True
         self._asked_at = now
-        self._due = now + (LEADER_INTERVAL if self.leading() else INTERVAL)
+        self._due = now + (LEADER_INTERVAL if self.is_leader() else INTERVAL)
         self._platform.list(
             RECORD_KIND, "records", self._answered, timeout=TIMEOUT
         )
@@ -346,7 +350,7 @@
         """Note records that the store had in an earlier era and lost."""
         shown = {found.name for found in objects}
         for name, group in self._board.groups.items():
-            if group.leadership is not None and name not in shown:
+            if group.record is not None and name not in shown:
                 self._unsettle(group, era, 0)
         if HOLDERS_NAME not in shown:
             self._unsettle_holders(era, 0)
@@ -355,7 +359,7 @@
         if isinstance(found.value, dict) and "primary" in found.value:
             record = read_record(found)
             if record is not None:
-                self.take(record, asked_at)
+                self.apply(record, asked_at)
         elif found.name == HOLDERS_NAME:
             self._take_holders(found, asked_at)
         elif self.on_other is not None and asked_at is not None:
@@ -368,9 +372,9 @@
             holders = decode_holders(found)
             if holders is None:
                 return
-            if known is None or holders.order > known.order:
+            if known is None or holders.sort_key > known.sort_key:
                 self._replace_holders(holders)
-            if not holders.current:
+            if not holders.is_current:
                 self._unsettle_holders(era_of(found.version), found.version)
                 return
         self._settle_holders()
@@ -381,8 +385,8 @@
 
     def _confirm_holders(self, asked_at: float | None) -> None:
         if asked_at is not None:
-            self.holders_confirmed_at = max(
-                self.holders_confirmed_at, asked_at
+            self.quota_holders_confirmed_at = max(
+                self.quota_holders_confirmed_at, asked_at
             )
 
     def _unsettle_holders(self, era: int, version: int) -> None:
@@ -391,7 +395,9 @@
             return
         if lost is None or (lost.era, lost.version) < (era, version):
             self._bytes = None
-            self._board.quota_unsettled = Unsettled(era=era, version=version)
+            self._board.quota_unsettled = UnsettledState(
+                era=era, version=version
+            )
 
     def _settle_holders(self) -> None:
         known, lost = self._board.quota_holders, self._board.quota_unsettled
@@ -435,21 +441,21 @@
             if group.primary() is not None and self.read_at > 0:
                 self._ask_others(group, now)
 
-    def _ask_others(self, group: GroupView, now: float) -> None:
-        record = group.leadership
+    def _ask_others(self, group: SessionGroup, now: float) -> None:
+        record = group.record
         if record is None or group.name in self._asking:
             return
         others = [name for name in group.targets if name != record.primary]
         if not others:
             return
         self._asking.add(group.name)
-        reports: dict[str, Report | None] = {}
+        reports: dict[str, TargetReport | None] = {}
         left = len(others)
 
-        def heard(name: str, result: Report | NoReport) -> None:
+        def heard(name: str, result: TargetReport | NoReport) -> None:
             nonlocal left
             left -= 1
-            if isinstance(result, Report):
+            if isinstance(result, TargetReport):
                 reports[name] = result
             elif result.refused:
                 reports[name] = None
@@ -468,14 +474,14 @@
 
     def _judge_others(
         self,
-        group: GroupView,
-        record: Leadership,
+        group: SessionGroup,
+        record: PrimaryRecord,
         others: list[str],
-        reports: dict[str, Report | None],
+        reports: dict[str, TargetReport | None],
         asked_at: float,
     ) -> None:
         agree = others_agree(others, reports, record.term)
-        same = group.leadership is record and record.change is None
+        same = group.record is record and record.change is None
         if agree and same and self._may_take_proofs(asked_at):
             group.proof.renew(asked_at)
         logs.log_event(
--- a/bamboospring/sessions/settler.py
+++ b/bamboospring/sessions/record_settler.py
@@ -11,19 +11,19 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.group_records import encode_record
+from bamboospring.sessions.group_records import RECORD_KIND
+from bamboospring.sessions.model import PrimaryRecord
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import AskReport
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proof_release import ProofReleases
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.questions import NoReport
 from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.records import encode_record
-from bamboospring.sessions.records import RECORD_KIND
-from bamboospring.sessions.release import Releases
-from bamboospring.sessions.settlement import latest_known
-from bamboospring.sessions.settlement import settled_record
-from bamboospring.store_version import Unsettled
+from bamboospring.sessions.settled_record import latest_known
+from bamboospring.sessions.settled_record import settled_record
+from bamboospring.store_version import UnsettledState
 
 __all__ = ["Settler"]
 
@@ -35,9 +35,9 @@
 STORE_TIMEOUT = 1.0
 
 # Called with a group whose primary is recorded anew.
-OnSettled = Callable[[GroupView], None]
+OnSettled = Callable[[SessionGroup], None]
 # Called with a group to replace the primary of, and what is known of it.
-OnDisagreed = Callable[[GroupView, Leadership], None]
+OnDisagreed = Callable[[SessionGroup, PrimaryRecord], None]
 
 
 class Settler:
@@ -50,7 +50,7 @@
         platform: PlatformClient,
         questions: TargetQuestions,
         records: RecordKeeper,
-        releases: Releases,
+        releases: ProofReleases,
         leads: Callable[[], bool],
         on_settled: OnSettled,
         on_disagreed: OnDisagreed,
@@ -67,14 +67,14 @@
         self._looked_at: dict[str, float] = {}
         self._began_at: dict[str, float] = {}
 
-    def tick(self, group: GroupView) -> None:
+    def tick(self, group: SessionGroup) -> None:
         """Go on with a group that is unsettled and has no change under way."""
         now = self._reactor.now()
         if group.name in self._busy:
             return
         if now - self._looked_at.get(group.name, -1e9) < INTERVAL:
             return
-        known, unsettled = group.leadership, group.unsettled
+        known, unsettled = group.record, group.unsettled
         if known is None or unsettled is None or not group.targets:
             return
         self._began_at.setdefault(group.name, now)
@@ -83,15 +83,18 @@
         self._survey(group, known, unsettled)
 
     def _survey(
-        self, group: GroupView, known: Leadership, unsettled: Unsettled
+        self,
+        group: SessionGroup,
+        known: PrimaryRecord,
+        unsettled: UnsettledState,
     ) -> None:
         targets = tuple(group.targets)
-        reports: dict[str, Report | None] = {}
+        reports: dict[str, TargetReport | None] = {}
         left = set(targets)
 
-        def heard(name: str, result: Report | NoReport) -> None:
+        def heard(name: str, result: TargetReport | NoReport) -> None:
             left.discard(name)
-            if isinstance(result, Report):
+            if isinstance(result, TargetReport):
                 reports[name] = result
             elif result.refused:
                 reports[name] = None
@@ -110,13 +113,13 @@
 
     def _judge(
         self,
-        group: GroupView,
-        known: Leadership,
-        unsettled: Unsettled,
+        group: SessionGroup,
+        known: PrimaryRecord,
+        unsettled: UnsettledState,
         targets: tuple[str, ...],
-        reports: dict[str, Report | None],
+        reports: dict[str, TargetReport | None],
     ) -> None:
-        same = group.leadership is known and group.unsettled == unsettled
+        same = group.record is known and group.unsettled == unsettled
         if not same or not self._leads():
             return
         record = settled_record(known, unsettled, targets, reports)
@@ -138,7 +141,7 @@
         self._began_at.pop(group.name, None)
         self._on_disagreed(group, latest_known(known, unsettled, reports))
 
-    def _store(self, group: GroupView, record: Leadership) -> None:
+    def _store(self, group: SessionGroup, record: PrimaryRecord) -> None:
         self._busy.add(group.name)
 
         def on_result(
@@ -158,7 +161,7 @@
                 self._releases.publish(record, result.version)
                 self._on_settled(group)
             else:
-                self._records.doubt(group.name)
+                self._records.request_read(group.name)
 
         self._platform.put(
             RECORD_KIND,
--- a/bamboospring/sessions/refusals.py
+++ b/bamboospring/sessions/refusals.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from bamboospring.sessions.freshness import SampleLog
-from bamboospring.sessions.model import GroupView
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import Refusal
 from bamboospring.statements import Position
 
@@ -38,7 +38,7 @@
 
 
 def note_refusal(
-    group: GroupView,
+    group: SessionGroup,
     target: str,
     refusal: Refusal,
     now: float,
@@ -46,12 +46,12 @@
     needed: Position | None,
 ) -> None:
     """Note what a refusal of a statement that needed a position shows."""
-    view = group.view(target)
+    view = group.observed_target(target)
     if refusal is Refusal.BEHIND:
         pause = behind_pause(group.samples, view.applied, needed)
         view.behind_until = now + pause
     elif not refusal.promises_nothing_ran:
-        view.failed()
+        view.record_failure()
 
 
 def may_try_again(refusal: Refusal, *, writes: bool) -> bool:
--- a/bamboospring/sessions/relay.py
+++ b/bamboospring/sessions/relay.py
@@ -25,11 +25,11 @@
 from bamboospring.peers import Reply
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.catalog_keeper import CatalogKeeper
-from bamboospring.sessions.duty import Duty
-from bamboospring.sessions.duty import Holder
 from bamboospring.sessions.freshness import Sample
+from bamboospring.sessions.leader_lease import LeaderLease
+from bamboospring.sessions.leader_lease import LeaseHolder
+from bamboospring.sessions.model import ListedTarget
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.model import TargetNews
 from bamboospring.sessions.record_keeper import RecordKeeper
 from bamboospring.sessions.target_keeper import TargetKeeper
 from bamboospring.sessions.vm_registry import VmRegistry
@@ -72,7 +72,7 @@
 STANDS = INTERVAL + TIMEOUT + 0.1
 
 
-def write_news(listed: list[TargetNews]) -> bytes:
+def write_news(listed: list[ListedTarget]) -> bytes:
     """Return targets as they are passed on."""
     rows = [
         (
@@ -90,10 +90,10 @@
     return orjson.dumps(rows)
 
 
-def read_news(data: bytes) -> list[TargetNews]:
+def read_news(data: bytes) -> list[ListedTarget]:
     """Read targets that were passed on."""
     return [
-        TargetNews(
+        ListedTarget(
             target=Target(
                 name=name,
                 address=address,
@@ -133,7 +133,7 @@
         board: SessionBoard,
         peers: Peers,
         registry: VmRegistry,
-        duty: Duty,
+        duty: LeaderLease,
         records: RecordKeeper,
         targets: TargetKeeper,
         catalog: CatalogKeeper,
@@ -182,11 +182,11 @@
         message = envelope()
         ask = message.init("factsAsk")
         ask.vm = self._board.vm
-        ask.address = self._registry.me.address
+        ask.address = self._registry.local_vm.address
         ask.availabilityZone = self._board.availability_zone
         ask.records = digest_of(self._records.as_bytes())
         ask.targets = digest_of(write_news(self._targets.listed))
-        ask.wantsCatalog = self._catalog.unreachable
+        ask.wantsCatalog = self._catalog.refresh_failed
         ask.zoneVms = digest_of(_write_vms(self._holders.listed))
 
         def answered(answer: Any) -> None:
@@ -212,8 +212,8 @@
         passed_on = bool(facts.leader)
         if passed_on:
             # The sender knows of the leader by hearsay, as we do.
-            self._duty.told_of(
-                Holder(
+            self._duty.record_holder(
+                LeaseHolder(
                     vm=facts.leader,
                     address=facts.leaderAddress,
                     version=facts.leaseVersion,
@@ -225,26 +225,26 @@
             self._informed_until = until
             self._take_assignment(facts, now)
         proof_age = facts.proofAgeUs / 1e6
-        self._board.vms = max(1, facts.vms)
+        self._board.vm_count = max(1, facts.vms)
         if facts.samples:
             self._take_samples(orjson.loads(facts.samples), asked_at)
         if proof_age <= OLDEST_PROOF:
-            self._records.take_relayed(
+            self._records.apply_relayed(
                 orjson.loads(facts.records) if facts.records else None,
                 asked_at - proof_age,
                 until,
             )
-        self._duty.lease_relayed(
+        self._duty.apply_relayed(
             facts.leaseVersion, facts.leaseMs / 1000, asked_at
         )
         targets_age = facts.targetsAgeMs / 1000
         if targets_age <= OLDEST_TARGETS:
             listed = read_news(facts.targets) if facts.targets else None
-            self._targets.take_relayed(listed, asked_at - targets_age, until)
+            self._targets.apply_relayed(listed, asked_at - targets_age, until)
         catalog_age = facts.catalogAgeMs / 1000
         oldest = OLDEST_CATALOG + (RELAY_INTERVAL if passed_on else 0.0)
         if catalog_age <= oldest:
-            self._catalog.take_relayed(
+            self._catalog.apply_relayed(
                 facts.catalog,
                 asked_at - catalog_age,
                 asked_at - facts.catalogConfirmedMs / 1000,
@@ -288,7 +288,7 @@
         """
         for name, version, samples in rows:
             group = self._board.group(name)
-            agreed = group.leadership
+            agreed = group.record
             if agreed is None or agreed.version != version:
                 continue
             for age_us, term, index in samples:
@@ -299,7 +299,7 @@
         """Return the newest samples of all groups, with their ages."""
         rows = []
         for name, group in self._board.groups.items():
-            agreed = group.leadership
+            agreed = group.record
             if agreed is None or agreed.change is not None:
                 continue
             samples = [
@@ -331,8 +331,8 @@
 
     def _on_leading(self, message: Any, _reply: Reply) -> None:
         leading = message.leading
-        self._duty.told_of(
-            Holder(
+        self._duty.record_holder(
+            LeaseHolder(
                 vm=leading.vm,
                 address=leading.address,
                 version=leading.version,
@@ -361,7 +361,9 @@
     def _fill_zone(self, facts: Any, ask: Any, now: float) -> None:
         """Note who asks, and tell it who else of the zone does."""
         self._zone_members.heard(ZoneVm(name=ask.vm, address=ask.address), now)
-        me = ZoneVm(name=self._board.vm, address=self._registry.me.address)
+        me = ZoneVm(
+            name=self._board.vm, address=self._registry.local_vm.address
+        )
         vms = self._zone_members.vms(me, now)
         if vms is None:
             return
@@ -392,7 +394,7 @@
         records = self._records.as_bytes()
         if digest_of(records) != ask.records:
             facts.records = records
-        lease = self._duty.lease()
+        lease = self._duty.last_seen_lease()
         facts.leaseVersion = lease.version
         facts.leaseMs = _ms(lease.duration)
         news = write_news(self._targets.listed)
@@ -405,7 +407,7 @@
         confirmed_ago = now - self._board.catalog_confirmed_at
         facts.catalogConfirmedMs = _ms(confirmed_ago) + 1
         facts.samples = self._samples(now)
-        facts.vms = self._board.vms
+        facts.vms = self._board.vm_count
 
 
 def _write_vms(vms: tuple[ZoneVm, ...]) -> bytes:
--- a/bamboospring/sessions/replies.py
+++ b/bamboospring/sessions/replies.py
@@ -10,7 +10,7 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.sessions.model import GroupView
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import CommitWork
 from bamboospring.sessions.ports import Order
 from bamboospring.sessions.ports import Refusal
@@ -87,16 +87,16 @@
 
 
 def learn_from(
-    group: GroupView,
+    group: SessionGroup,
     target: str,
     reply: TargetReply,
     sent_at: float,
     now: float,
 ) -> None:
     """Take from a reply what it shows of its target and of the group."""
-    group.view(target).answered(now - sent_at, now)
+    group.observed_target(target).record_answer(now - sent_at, now)
     if reply.position is not None:
-        group.learn(target, reply.position, sent_at, now)
+        group.record_position(target, reply.position, sent_at, now)
 
 
 def surely_not_run(outcome: SessionOutcome) -> bool:
--- a/bamboospring/sessions/run.py
+++ b/bamboospring/sessions/run.py
@@ -10,8 +10,8 @@
 from bamboospring.reactor import Timer
 from bamboospring.sessions.attempt import Attempt
 from bamboospring.sessions.forwarded_statement import ForwardedStatement
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import TargetView
+from bamboospring.sessions.model import ObservedTarget
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.patience import change_patience
 from bamboospring.sessions.ports import SessionOutcome
 from bamboospring.sessions.quota_client import Admitted
@@ -76,7 +76,7 @@
         self.job = job
         self.tx = tx
         self.commits = job.text is None and job.shape is None
-        self.group: GroupView = runner.board.group(job.route.group)
+        self.group: SessionGroup = runner.board.group(job.route.group)
         self.story = Story(
             session=session, job=job, transaction=tx is not None
         )
@@ -210,12 +210,14 @@
         before its time is up waits for it; who can't is refused at once, so
         that the rest of its time is its own.
         """
-        due = self.group.proof_due_at(now)
+        due = self.group.first_proof_due_at(now)
         if reason is Reason.PRIMARY_CHANGED and due is not None:
             # Refused here, those that have waited for the change would all
             # be lost in the last moment.
             return min(due, self.deadline), CHANGE_RETRY_MS / 1000
-        expected = self.group.expected_at(self.runner.board.change_time)
+        expected = self.group.change_expected_at(
+            self.runner.board.change_duration
+        )
         if reason is not Reason.NO_PRIMARY or expected is None:
             return self._patient_until, CHANGE_RETRY_MS / 1000
         return change_patience(
@@ -227,7 +229,7 @@
 
     # What becomes of a try.
 
-    def start_hedge(self, view: TargetView) -> None:
+    def start_hedge(self, view: ObservedTarget) -> None:
         """Try elsewhere too if a read has no answer after some time."""
         after = max(SHORTEST_HEDGE, HEDGE_TIMES * view.latency)
         if self.tx is None and not self.job.writes and self._hedge is None:
--- a/bamboospring/sessions/runner.py
+++ b/bamboospring/sessions/runner.py
@@ -120,8 +120,8 @@
             return None
         holder = self._holders.holder(
             choice.news.target.name,
-            connections=limits.connections,
-            vms=self.board.vms,
+            connections=limits.max_connections,
+            vms=self.board.vm_count,
             now=now,
         )
         if holder is None:
--- a/bamboospring/sessions/session.py
+++ b/bamboospring/sessions/session.py
@@ -466,7 +466,7 @@
         catalog = self.board.catalog
         if catalog is not None:
             self._idle_timer = self.reactor.call_later(
-                catalog.idle_transaction, self._idle_too_long
+                catalog.transaction_idle_timeout, self._idle_too_long
             )
 
     def _stop_timer(self) -> None:
--- a/bamboospring/sessions/session_metrics.py
+++ b/bamboospring/sessions/session_metrics.py
@@ -27,8 +27,8 @@
     from bamboospring.metrics_export import Exporter
     from bamboospring.platform_client import PlatformClient
     from bamboospring.pools import Pools
-    from bamboospring.sessions.duty import Duty
     from bamboospring.sessions.holder_server import HolderServer
+    from bamboospring.sessions.leader_lease import LeaderLease
     from bamboospring.sessions.outside import CallerListener
     from bamboospring.sessions.ports import SessionLink
 
@@ -96,7 +96,7 @@
         *,
         pools: Pools[SessionLink],
         platform: PlatformClient,
-        duty: Duty,
+        duty: LeaderLease,
         listener: CallerListener,
         holder_server: HolderServer,
         now: Callable[[], float],
--- a/bamboospring/sessions/settlement.py
+++ b/bamboospring/sessions/settled_record.py
@@ -17,19 +17,19 @@
 from collections.abc import Mapping
 import dataclasses
 
-from bamboospring.sessions.model import Leadership
-from bamboospring.sessions.proofs import Report
-from bamboospring.store_version import Unsettled
+from bamboospring.sessions.model import PrimaryRecord
+from bamboospring.sessions.proofs import TargetReport
+from bamboospring.store_version import UnsettledState
 
 __all__ = ["latest_known", "settled_record"]
 
 
 def settled_record(
-    known: Leadership,
-    unsettled: Unsettled,
+    known: PrimaryRecord,
+    unsettled: UnsettledState,
     targets: Collection[str],
-    reports: Mapping[str, Report | None],
-) -> Leadership | None:
+    reports: Mapping[str, TargetReport | None],
+) -> PrimaryRecord | None:
     """Return the record on which all targets agree, None if they don't.
 
     `reports` are as for `others_agree`; `known` is the newest record that is
@@ -38,7 +38,7 @@
     """
     latest = latest_known(known, unsettled, reports)
     report = reports.get(latest.primary)
-    if report is None or not report.leads or report.term != latest.term:
+    if report is None or not report.is_primary or report.term != latest.term:
         return None
     others = [name for name in targets if name != latest.primary]
     if others and not _none_beyond(others, reports, latest.term):
@@ -47,7 +47,9 @@
 
 
 def _none_beyond(
-    others: Collection[str], reports: Mapping[str, Report | None], term: int
+    others: Collection[str],
+    reports: Mapping[str, TargetReport | None],
+    term: int,
 ) -> bool:
     if any(name not in reports for name in others):
         return False
@@ -58,10 +60,10 @@
 
 
 def latest_known(
-    known: Leadership,
-    unsettled: Unsettled,
-    reports: Mapping[str, Report | None],
-) -> Leadership:
+    known: PrimaryRecord,
+    unsettled: UnsettledState,
+    reports: Mapping[str, TargetReport | None],
+) -> PrimaryRecord:
     """Return the newest primary that is known or shows itself.
 
     It may not be the newest there is. It replaces what the store shows.
@@ -70,7 +72,11 @@
         known, version=unsettled.version, era=unsettled.era
     )
     for name, report in reports.items():
-        if report is not None and report.leads and report.term > latest.term:
+        if (
+            report is not None
+            and report.is_primary
+            and report.term > latest.term
+        ):
             latest = dataclasses.replace(
                 latest, primary=name, term=report.term, change=None
             )
--- a/bamboospring/sessions/step.py
+++ b/bamboospring/sessions/step.py
@@ -110,8 +110,10 @@
 
     def _send(self) -> None:
         runner, target = self._runner, self._leased.target.name
-        view = runner.board.group(self._job.route.group).view(target)
-        view.outstanding += 1
+        view = runner.board.group(self._job.route.group).observed_target(
+            target
+        )
+        view.in_flight += 1
         self._sent_at = runner.reactor.now()
         self._story.sent(target, after=None, proof_age=None)
         if self._job.writes:
@@ -119,9 +121,9 @@
             self._tx.wrote = True
 
         def answered(result: list[TargetReply] | LinkLost) -> None:
-            view.outstanding -= 1
+            view.in_flight -= 1
             if isinstance(result, LinkLost):
-                view.failed()
+                view.record_failure()
                 self._lost(result)
             else:
                 self._answered(result[0])
@@ -163,7 +165,7 @@
         outcome: SessionOutcome = served_from(reply, target, tx.at_replica)
         if self._commits:
             self._drop()
-            if tx.wrote and not group.stands(target, now):
+            if tx.wrote and not group.is_answer_valid(target, now):
                 # Another primary may have been promoted before this commit
                 # took effect at the old one; then it is lost.
                 outcome = Unknown(reason=Reason.PRIMARY_CHANGED)
--- a/bamboospring/sessions/takeover.py
+++ b/bamboospring/sessions/takeover.py
@@ -31,19 +31,19 @@
 from dataclasses import field
 from enum import Enum
 
-from bamboospring.sessions.model import Change
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.model import PendingChange
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import HoldTerm
 from bamboospring.sessions.ports import PromotionResult
 from bamboospring.sessions.proofs import PROMOTION_WAIT
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proofs import TargetReport
 
 __all__ = [
     "Action",
-    "Cause",
+    "TakeoverCause",
     "OrderPromotion",
-    "Phase",
+    "TakeoverPhase",
     "ReadRecord",
     "StoreRecord",
     "Takeover",
@@ -66,7 +66,7 @@
 CONFIRM_INTERVAL = 0.1
 
 
-class Cause(Enum):
+class TakeoverCause(Enum):
     """Why a primary is replaced.
 
     `UNSETTLED`: the store may have lost who is the primary, and the targets
@@ -83,17 +83,17 @@
     ORDERED = "ordered"
 
     @property
-    def planned(self) -> bool:
+    def is_planned(self) -> bool:
         """Tell whether the primary still works."""
         return self in (
-            Cause.LEAVING,
-            Cause.ORDERED,
-            Cause.UNREACHED,
-            Cause.UNSETTLED,
+            TakeoverCause.LEAVING,
+            TakeoverCause.ORDERED,
+            TakeoverCause.UNREACHED,
+            TakeoverCause.UNSETTLED,
         )
 
 
-class Phase(Enum):
+class TakeoverPhase(Enum):
     """How far a change has come."""
 
     SURVEY = "survey"
@@ -123,7 +123,7 @@
 class StoreRecord:
     """Store the group's record if it is still at the version named."""
 
-    record: Leadership
+    record: PrimaryRecord
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -151,17 +151,17 @@
 
     vm: str
     nonce: str
-    cause: Cause
-    record: Leadership
+    cause: TakeoverCause
+    record: PrimaryRecord
     targets: Collection[str]
     unfit: Collection[str] = ()
-    phase: Phase = Phase.SURVEY
+    phase: TakeoverPhase = TakeoverPhase.SURVEY
     term: int = 0
     candidate: str = ""
     holder: str = ""
     second: str = ""
     end: str = ""
-    reports: dict[str, Report | None] = field(default_factory=dict)
+    reports: dict[str, TargetReport | None] = field(default_factory=dict)
     released: bool = False
     _phase_at: float = 0.0
     _sent_at: float = 0.0
@@ -173,7 +173,7 @@
     @property
     def over(self) -> bool:
         """Tell whether nothing is left to do."""
-        return self.phase in (Phase.DONE, Phase.GIVEN_UP)
+        return self.phase in (TakeoverPhase.DONE, TakeoverPhase.GIVEN_UP)
 
     def begin(self, now: float) -> list[Action]:
         """Start: ask all targets how things stand."""
@@ -182,22 +182,22 @@
     # Events.
 
     def replied(
-        self, target: str, report: Report | None, now: float
+        self, target: str, report: TargetReport | None, now: float
     ) -> list[Action]:
         """Take a target's answer; None if its process is not running."""
         self.reports[target] = report
         match self.phase:
-            case Phase.SURVEY:
+            case TakeoverPhase.SURVEY:
                 return self._try_leave_survey(now)
-            case Phase.HOLD if target == self.holder:
+            case TakeoverPhase.HOLD if target == self.holder:
                 return self._held(report, now)
-            case Phase.VERIFY:
+            case TakeoverPhase.VERIFY:
                 return self._try_leave_verify(now)
-            case Phase.SEAL if target == self.second:
+            case TakeoverPhase.SEAL if target == self.second:
                 return self._sealed(report, now)
-            case Phase.CHECK if target == self.holder:
+            case TakeoverPhase.CHECK if target == self.holder:
                 return self._checked(report, now)
-            case Phase.CONFIRM if target == self.candidate:
+            case TakeoverPhase.CONFIRM if target == self.candidate:
                 return self._confirmed(report, now)
         return []
 
@@ -205,7 +205,7 @@
         """Take that the record was stored."""
         self._storing = False
         record = self._wanted()
-        self.record = Leadership(
+        self.record = PrimaryRecord(
             group=record.group,
             version=version,
             term=record.term,
@@ -214,13 +214,13 @@
             era=record.era,
         )
         match self.phase:
-            case Phase.INTEND:
+            case TakeoverPhase.INTEND:
                 self._closed_at = now
                 return self._hold(now)
-            case Phase.NAME:
+            case TakeoverPhase.NAME:
                 return self._order(now)
-            case Phase.RECORD:
-                self._enter(Phase.DONE, now)
+            case TakeoverPhase.RECORD:
+                self._enter(TakeoverPhase.DONE, now)
         return []
 
     def store_unsure(self, now: float) -> list[Action]:
@@ -228,10 +228,14 @@
         self._sent_at = now
         return []
 
-    def read(self, record: Leadership, now: float) -> list[Action]:
+    def read(self, record: PrimaryRecord, now: float) -> list[Action]:
         """Take the record as the store has it."""
         self._storing = False
-        if self.phase not in (Phase.INTEND, Phase.NAME, Phase.RECORD):
+        if self.phase not in (
+            TakeoverPhase.INTEND,
+            TakeoverPhase.NAME,
+            TakeoverPhase.RECORD,
+        ):
             return []
         if record.version == self.record.version:
             return self._store(now)
@@ -242,11 +246,11 @@
 
     def ordered(self, result: PromotionResult, now: float) -> list[Action]:
         """Take what became of the order to promote."""
-        if self.phase is not Phase.PROMOTE:
+        if self.phase is not TakeoverPhase.PROMOTE:
             return []
         match result:
             case PromotionResult.ACCEPTED | PromotionResult.UNKNOWN:
-                self._enter(Phase.CONFIRM, now)
+                self._enter(TakeoverPhase.CONFIRM, now)
                 return self._ask([self.candidate], now)
             case PromotionResult.REFUSED:
                 self._refused.add(self.candidate)
@@ -264,19 +268,21 @@
         """Go on with what is due, and send again what has no answer."""
         waited = now - self._phase_at
         match self.phase:
-            case Phase.SURVEY if waited >= SURVEY_PATIENCE:
+            case TakeoverPhase.SURVEY if waited >= SURVEY_PATIENCE:
                 return self._leave_survey(now)
-            case Phase.SURVEY if waited >= SURVEY_GRACE:
+            case TakeoverPhase.SURVEY if waited >= SURVEY_GRACE:
                 return self._try_leave_survey(now)
-            case Phase.WAIT if self._proofs_are_over(now):
+            case TakeoverPhase.WAIT if self._proofs_are_over(now):
                 return self._verify(now)
-            case Phase.VERIFY if waited >= SURVEY_PATIENCE:
+            case TakeoverPhase.VERIFY if waited >= SURVEY_PATIENCE:
                 return self._leave_verify(now)
-            case Phase.VERIFY:
+            case TakeoverPhase.VERIFY:
                 return self._try_leave_verify(now)
-            case Phase.CONFIRM if waited >= CONFIRM_PATIENCE:
+            case TakeoverPhase.CONFIRM if waited >= CONFIRM_PATIENCE:
                 return self._survey_again(now)
-            case Phase.CONFIRM if now - self._sent_at >= CONFIRM_INTERVAL:
+            case TakeoverPhase.CONFIRM if (
+                now - self._sent_at >= CONFIRM_INTERVAL
+            ):
                 return self._ask([self.candidate], now)
         if now - self._sent_at >= RESEND:
             return self._send_again(now)
@@ -285,13 +291,17 @@
     def _send_again(self, now: float) -> list[Action]:
         self._sent_at = now
         match self.phase:
-            case Phase.INTEND | Phase.NAME | Phase.RECORD:
+            case (
+                TakeoverPhase.INTEND
+                | TakeoverPhase.NAME
+                | TakeoverPhase.RECORD
+            ):
                 return [ReadRecord()]
-            case Phase.HOLD:
+            case TakeoverPhase.HOLD:
                 return self._hold(now)
-            case Phase.SEAL | Phase.CHECK:
+            case TakeoverPhase.SEAL | TakeoverPhase.CHECK:
                 return self._verify(now)
-            case Phase.PROMOTE:
+            case TakeoverPhase.PROMOTE:
                 return [OrderPromotion(target=self.candidate)]
         return []
 
@@ -299,7 +309,7 @@
 
     def _survey(self, now: float) -> list[Action]:
         self.reports = {}
-        self._enter(Phase.SURVEY, now)
+        self._enter(TakeoverPhase.SURVEY, now)
         return self._ask(self.targets, now)
 
     def _survey_again(self, now: float) -> list[Action]:
@@ -311,7 +321,7 @@
             return self._leave_survey(now)
         missing = set(self.targets) - self.reports.keys()
         if now - self._phase_at >= SURVEY_GRACE:
-            if missing <= {self.record.primary} and not self.cause.planned:
+            if missing <= {self.record.primary} and not self.cause.is_planned:
                 return self._leave_survey(now)
         return []
 
@@ -330,26 +340,26 @@
             return []
         known = [report.newest_term for report in heard.values()]
         self.term = max([self.record.term, *known]) + 1
-        self._enter(Phase.INTEND, now)
+        self._enter(TakeoverPhase.INTEND, now)
         return self._store(now)
 
-    def _primary_works(self, heard: dict[str, Report]) -> bool:
-        if self.cause.planned or self.record.change is not None:
+    def _primary_works(self, heard: dict[str, TargetReport]) -> bool:
+        if self.cause.is_planned or self.record.change is not None:
             return False
-        if self.cause is Cause.GONE:
+        if self.cause is TakeoverCause.GONE:
             return False
         report = heard.get(self.record.primary)
-        return report is not None and report.leads
+        return report is not None and report.is_primary
 
-    def _already_promoted(self, heard: dict[str, Report]) -> str | None:
+    def _already_promoted(self, heard: dict[str, TargetReport]) -> str | None:
         """Return a target that leads by an earlier attempt at this change.
 
         Of an unsettled group it may be any earlier primary that leads.
         """
-        if self.cause is Cause.UNSETTLED:
+        if self.cause is TakeoverCause.UNSETTLED:
             return None
         for name, report in heard.items():
-            if report.leads and report.term > self.record.term:
+            if report.is_primary and report.term > self.record.term:
                 return name
         return None
 
@@ -362,18 +372,18 @@
         self._sent_at = now
         return [StoreRecord(record=self._wanted())]
 
-    def _wanted(self) -> Leadership:
+    def _wanted(self) -> PrimaryRecord:
         """Return the record that this phase is to store."""
         old = self.record
-        if self.phase in (Phase.INTEND, Phase.NAME):
-            change = Change(
+        if self.phase in (TakeoverPhase.INTEND, TakeoverPhase.NAME):
+            change = PendingChange(
                 term=self.term,
                 vm=self.vm,
                 nonce=self.nonce,
                 cause=self.cause.value,
                 candidate=self.candidate,
             )
-            return Leadership(
+            return PrimaryRecord(
                 group=old.group,
                 version=old.version,
                 term=old.term,
@@ -381,7 +391,7 @@
                 change=change,
                 era=old.era,
             )
-        return Leadership(
+        return PrimaryRecord(
             group=old.group,
             version=old.version,
             term=self.term,
@@ -389,7 +399,7 @@
             era=old.era,
         )
 
-    def _is_wanted(self, record: Leadership) -> bool:
+    def _is_wanted(self, record: PrimaryRecord) -> bool:
         wanted = self._wanted()
         return (record.term, record.primary, record.change) == (
             wanted.term,
@@ -402,18 +412,18 @@
         heard = self._heard()
         replicas = [name for name in heard if self._may_hold(name)]
         others = [name for name in replicas if name != self.candidate]
-        if self.holder in others and self.phase is Phase.HOLD:
+        if self.holder in others and self.phase is TakeoverPhase.HOLD:
             # It did not answer: try the next one, the candidate last.
             others.remove(self.holder)
         self.holder = (others or [self.candidate])[0]
-        self._enter(Phase.HOLD, now)
+        self._enter(TakeoverPhase.HOLD, now)
         order = HoldTerm(term=self.term)
         return [TellTarget(target=self.holder, order=order)]
 
     def _may_hold(self, name: str) -> bool:
         return name != self.record.primary and name not in self._refused
 
-    def _held(self, report: Report | None, now: float) -> list[Action]:
+    def _held(self, report: TargetReport | None, now: float) -> list[Action]:
         if report is None:
             return []
         if max(report.held_term, report.term) < self.term:
@@ -421,7 +431,7 @@
                 self.term = report.newest_term + 1
             return []
         self._closed_at = max(self._closed_at, now)
-        self._enter(Phase.WAIT, now)
+        self._enter(TakeoverPhase.WAIT, now)
         return self.tick(now)
 
     def _proofs_are_over(self, now: float) -> bool:
@@ -431,7 +441,7 @@
 
     def _verify(self, now: float) -> list[Action]:
         self.reports = {}
-        self._enter(Phase.VERIFY, now)
+        self._enter(TakeoverPhase.VERIFY, now)
         return self._ask(self.targets, now)
 
     def _try_leave_verify(self, now: float) -> list[Action]:
@@ -443,7 +453,7 @@
             return []
         old = heard.get(self.record.primary)
         best = self._best(heard)
-        if old is not None and best and self.cause.planned:
+        if old is not None and best and self.cause.is_planned:
             behind = _log_end(heard[best]) < _log_end(old)
             if behind and now - self._phase_at < CATCH_UP:
                 if now - self._sent_at >= CONFIRM_INTERVAL:
@@ -475,11 +485,11 @@
             self.second = self._other_replica(heard)
         if not self.second:
             return self._without_second(now)
-        self._enter(Phase.SEAL, now)
+        self._enter(TakeoverPhase.SEAL, now)
         order = HoldTerm(term=self.term)
         return [TellTarget(target=self.second, order=order)]
 
-    def _other_replica(self, heard: dict[str, Report]) -> str:
+    def _other_replica(self, heard: dict[str, TargetReport]) -> str:
         away = (self.holder, self.record.primary)
         return next((name for name in heard if name not in away), "")
 
@@ -490,7 +500,7 @@
             return self._verify(now)
         return self._promote(now)
 
-    def _sealed(self, report: Report | None, now: float) -> list[Action]:
+    def _sealed(self, report: TargetReport | None, now: float) -> list[Action]:
         if report is None:
             if self.second == self.candidate:
                 self._refused.add(self.candidate)
@@ -499,10 +509,12 @@
             return []
         # Asked only now: if it still holds the term it has done so all the
         # while, and from now on the candidate does.
-        self._enter(Phase.CHECK, now)
+        self._enter(TakeoverPhase.CHECK, now)
         return self._ask([self.holder], now)
 
-    def _checked(self, report: Report | None, now: float) -> list[Action]:
+    def _checked(
+        self, report: TargetReport | None, now: float
+    ) -> list[Action]:
         if report is None or report.newest_term < self.term:
             return self._hold(now)
         return self._promote(now)
@@ -517,33 +529,35 @@
         change = self.record.change
         if change is not None and change.candidate == self.candidate:
             return self._order(now)
-        self._enter(Phase.NAME, now)
+        self._enter(TakeoverPhase.NAME, now)
         return self._store(now)
 
     def _order(self, now: float) -> list[Action]:
-        self._enter(Phase.PROMOTE, now)
+        self._enter(TakeoverPhase.PROMOTE, now)
         return [OrderPromotion(target=self.candidate)]
 
-    def _confirmed(self, report: Report | None, now: float) -> list[Action]:
+    def _confirmed(
+        self, report: TargetReport | None, now: float
+    ) -> list[Action]:
         if report is None:
             self._refused.add(self.candidate)
             return self._survey(now)
-        if not report.leads or report.term <= self.record.term:
+        if not report.is_primary or report.term <= self.record.term:
             return []
         self.term = report.term
-        self._enter(Phase.RECORD, now)
+        self._enter(TakeoverPhase.RECORD, now)
         return self._store(now)
 
     # Small things.
 
-    def _heard(self) -> dict[str, Report]:
+    def _heard(self) -> dict[str, TargetReport]:
         return {
             name: report
             for name, report in self.reports.items()
             if report is not None
         }
 
-    def _best(self, heard: dict[str, Report]) -> str:
+    def _best(self, heard: dict[str, TargetReport]) -> str:
         """Return the most advanced target that may be promoted, or empty."""
         fit = [
             name
@@ -564,15 +578,15 @@
         self._sent_at = now
         return [TellTarget(target=t, order=AskReport()) for t in targets]
 
-    def _enter(self, phase: Phase, now: float) -> None:
+    def _enter(self, phase: TakeoverPhase, now: float) -> None:
         self.phase = phase
         self._phase_at = now
         self._sent_at = now
 
     def _give_up(self, why: str, now: float) -> None:
         self.end = why
-        self._enter(Phase.GIVEN_UP, now)
+        self._enter(TakeoverPhase.GIVEN_UP, now)
 
 
-def _log_end(report: Report) -> tuple[int, int]:
-    return report.received_term, report.received
+def _log_end(report: TargetReport) -> tuple[int, int]:
+    return report.received_term, report.received_index
--- a/bamboospring/sessions/changes.py
+++ b/bamboospring/sessions/takeover_runner.py
@@ -14,35 +14,35 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.duty import Duty
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.group_records import encode_record
+from bamboospring.sessions.group_records import read_record
+from bamboospring.sessions.group_records import RECORD_KIND
+from bamboospring.sessions.leader_lease import LeaderLease
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import PromotionOrders
 from bamboospring.sessions.ports import PromotionResult
 from bamboospring.sessions.ports import ResumeReceiving
 from bamboospring.sessions.ports import StepDown
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proof_release import ProofReleases
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.questions import NoReport
 from bamboospring.sessions.questions import Question
 from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.records import encode_record
-from bamboospring.sessions.records import read_record
-from bamboospring.sessions.records import RECORD_KIND
-from bamboospring.sessions.release import Releases
 from bamboospring.sessions.takeover import Action
-from bamboospring.sessions.takeover import Cause
 from bamboospring.sessions.takeover import OrderPromotion
-from bamboospring.sessions.takeover import Phase
 from bamboospring.sessions.takeover import ReadRecord
 from bamboospring.sessions.takeover import StoreRecord
 from bamboospring.sessions.takeover import Takeover
+from bamboospring.sessions.takeover import TakeoverCause
+from bamboospring.sessions.takeover import TakeoverPhase
 from bamboospring.sessions.takeover import TellTarget
 from bamboospring.store_version import version_text
 
-__all__ = ["Changes", "TELL_TIMEOUT"]
+__all__ = ["TakeoverRunner", "TELL_TIMEOUT"]
 
 TELL_TIMEOUT = 0.5
 PROMOTE_TIMEOUT = 0.6
@@ -53,7 +53,7 @@
 STEP_DOWN_INTERVAL = 0.5
 
 
-class Changes:
+class TakeoverRunner:
     """The changes of primary that this VM leads, one a group at most.
 
     `on_ended` is called with each group whose change is over.
@@ -67,10 +67,10 @@
         platform: PlatformClient,
         questions: TargetQuestions,
         records: RecordKeeper,
-        releases: Releases,
+        releases: ProofReleases,
         orders: PromotionOrders,
-        duty: Duty,
-        on_ended: Callable[[GroupView], None],
+        lease: LeaderLease,
+        on_ended: Callable[[SessionGroup], None],
     ) -> None:
         self._reactor = reactor
         self._board = board
@@ -79,11 +79,11 @@
         self._records = records
         self._releases = releases
         self._orders = orders
-        self._duty = duty
+        self._duty = lease
         self._on_ended = on_ended
         self._changes: dict[str, Takeover] = {}
 
-    def tick(self, group: GroupView) -> bool:
+    def tick(self, group: SessionGroup) -> bool:
         """Go on with a group's change; False if there is none."""
         change = self._changes.get(group.name)
         if change is None:
@@ -105,9 +105,9 @@
         for group in self._board.groups.values():
             self.put_right(group)
 
-    def put_right(self, group: GroupView) -> None:
+    def put_right(self, group: SessionGroup) -> None:
         """Have a group follow its primary, if it is agreed who that is."""
-        record = group.leadership
+        record = group.record
         if record is None or record.change is not None:
             return
         if group.unsettled is None:
@@ -115,7 +115,11 @@
             self._put_right(group, record, until)
 
     def begin(
-        self, group: GroupView, record: Leadership, cause: Cause, now: float
+        self,
+        group: SessionGroup,
+        record: PrimaryRecord,
+        cause: TakeoverCause,
+        now: float,
     ) -> None:
         """Begin to replace a group's primary."""
         leaving = [n for n, news in group.targets.items() if news.leaving]
@@ -140,7 +144,7 @@
         self._go_on(group, change, change.begin(now))
 
     def _go_on(
-        self, group: GroupView, change: Takeover, actions: list[Action]
+        self, group: SessionGroup, change: Takeover, actions: list[Action]
     ) -> None:
         for action in actions:
             self._carry_out(group, change, action)
@@ -148,7 +152,7 @@
             self._ended(group, change)
 
     def _carry_out(
-        self, group: GroupView, change: Takeover, action: Action
+        self, group: SessionGroup, change: Takeover, action: Action
     ) -> None:
         if not self._duty.leads:
             return
@@ -163,19 +167,23 @@
                 self._promote(group, change, target)
 
     def _tell(
-        self, group: GroupView, change: Takeover, target: str, order: Question
+        self,
+        group: SessionGroup,
+        change: Takeover,
+        target: str,
+        order: Question,
     ) -> None:
-        def heard(result: Report | NoReport) -> None:
+        def heard(result: TargetReport | NoReport) -> None:
             if isinstance(result, NoReport) and not result.refused:
                 return
-            report = result if isinstance(result, Report) else None
+            report = result if isinstance(result, TargetReport) else None
             now = self._reactor.now()
             self._go_on(group, change, change.replied(target, report, now))
 
         self._questions.ask(group, target, order, TELL_TIMEOUT, heard)
 
     def _store(
-        self, group: GroupView, change: Takeover, record: Leadership
+        self, group: SessionGroup, change: Takeover, record: PrimaryRecord
     ) -> None:
         def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
@@ -207,12 +215,12 @@
             timeout=STORE_TIMEOUT,
         )
 
-    def _published(self, group: GroupView, change: Takeover) -> None:
+    def _published(self, group: SessionGroup, change: Takeover) -> None:
         """Act on a record that the store has just taken."""
         record = change.record
-        self._records.take(record)
+        self._records.apply(record)
         if record.change is None:
-            self._records.doubt(group.name)
+            self._records.request_read(group.name)
             self._releases.tell_all(record)
             return
 
@@ -223,7 +231,7 @@
 
         self._releases.ask_all(record, released)
 
-    def _read(self, group: GroupView, change: Takeover) -> None:
+    def _read(self, group: SessionGroup, change: Takeover) -> None:
         def on_result(result: Found | Missing | Unavailable) -> None:
             if isinstance(result, Found):
                 self._go_on(group, change, self._read_back(change, result))
@@ -240,7 +248,7 @@
         record = read_record(found)
         if record is None:
             return []
-        self._records.take(record)
+        self._records.apply(record)
         before = change.record.version
         actions = change.read(record, self._reactor.now())
         if change.record.version != before:
@@ -248,7 +256,7 @@
         return actions
 
     def _promote(
-        self, group: GroupView, change: Takeover, target: str
+        self, group: SessionGroup, change: Takeover, target: str
     ) -> None:
         sent_at = self._reactor.now()
         if not self._duty.holds_until(sent_at + PROMOTE_TIMEOUT):
@@ -283,10 +291,10 @@
             on_done=on_done,
         )
 
-    def _ended(self, group: GroupView, change: Takeover) -> None:
+    def _ended(self, group: SessionGroup, change: Takeover) -> None:
         del self._changes[group.name]
         now = self._reactor.now()
-        done = change.phase is Phase.DONE
+        done = change.phase is TakeoverPhase.DONE
         logs.log_event(
             "change_ended",
             level=logs.Level.INFO if done else logs.Level.WARNING,
@@ -302,7 +310,7 @@
             self._put_right(group, change.record, now + STEP_DOWN_PATIENCE)
 
     def _put_right(
-        self, group: GroupView, record: Leadership, until: float
+        self, group: SessionGroup, record: PrimaryRecord, until: float
     ) -> None:
         """Have the others follow the new primary, for as long as it takes.
 
@@ -314,23 +322,23 @@
                 self._put_one_right(group, record, name, until)
 
     def _put_one_right(
-        self, group: GroupView, record: Leadership, name: str, until: float
+        self,
+        group: SessionGroup,
+        record: PrimaryRecord,
+        name: str,
+        until: float,
     ) -> None:
         def again() -> None:
             now = self._reactor.now()
-            if (
-                group.leadership != record
-                or now > until
-                or not self._duty.leads
-            ):
+            if group.record != record or now > until or not self._duty.leads:
                 return
             self._put_one_right(group, record, name, until)
 
-        def heard(result: Report | NoReport) -> None:
+        def heard(result: TargetReport | NoReport) -> None:
             if isinstance(result, NoReport):
                 self._reactor.call_later(STEP_DOWN_INTERVAL, again)
                 return
-            if result.leads and result.term < record.term:
+            if result.is_primary and result.term < record.term:
                 self._tell_once(group, name, StepDown(term=record.term))
                 self._reactor.call_later(STEP_DOWN_INTERVAL, again)
             elif result.held_term:
@@ -338,14 +346,16 @@
 
         self._questions.ask(group, name, AskReport(), TELL_TIMEOUT, heard)
 
-    def _tell_once(self, group: GroupView, name: str, order: Question) -> None:
-        def heard(result: Report | NoReport) -> None:
+    def _tell_once(
+        self, group: SessionGroup, name: str, order: Question
+    ) -> None:
+        def heard(result: TargetReport | NoReport) -> None:
             logs.log_event(
                 "target_told",
                 group=group.name,
                 target=name,
                 order=type(order).__name__,
-                heard=isinstance(result, Report),
+                heard=isinstance(result, TargetReport),
             )
 
         self._questions.ask(group, name, order, TELL_TIMEOUT, heard)
--- a/bamboospring/sessions/target_choice.py
+++ b/bamboospring/sessions/target_choice.py
@@ -15,10 +15,10 @@
 from bamboospring.outcomes import Reason
 from bamboospring.sessions.freshness import required_position
 from bamboospring.sessions.model import Freshness
-from bamboospring.sessions.model import GroupView
+from bamboospring.sessions.model import ListedTarget
+from bamboospring.sessions.model import ObservedTarget
 from bamboospring.sessions.model import Route
-from bamboospring.sessions.model import TargetNews
-from bamboospring.sessions.model import TargetView
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.statements import Position
 
 __all__ = ["Choice", "Needs", "NoTarget", "SendTo", "choose", "expected_time"]
@@ -53,7 +53,7 @@
 class SendTo:
     """Send it to this target, whose log must have `after`."""
 
-    news: TargetNews
+    news: ListedTarget
     after: Position | None
     at_replica: bool
 
@@ -69,7 +69,7 @@
 
 
 def choose(
-    group: GroupView, route: Route, needs: Needs, *, zone: str, now: float
+    group: SessionGroup, route: Route, needs: Needs, *, zone: str, now: float
 ) -> Choice:
     """Choose the target of one statement."""
     if needs.at_primary or route.freshness is Freshness.PRIMARY:
@@ -97,12 +97,12 @@
     )
 
 
-def expected_time(view: TargetView) -> float:
+def expected_time(view: ObservedTarget) -> float:
     """Return the seconds in which a target should answer one more."""
-    return (view.outstanding + 1) * view.latency * (1 + view.trouble)
+    return (view.in_flight + 1) * view.latency * (1 + view.failure_score)
 
 
-def _primary(group: GroupView, needs: Needs, now: float) -> Choice:
+def _primary(group: SessionGroup, needs: Needs, now: float) -> Choice:
     news = group.primary()
     if news is None:
         return NoTarget(reason=Reason.NO_PRIMARY)
@@ -116,14 +116,14 @@
 
 
 def _without_replica(
-    group: GroupView, needs: Needs, after: Position, now: float
+    group: SessionGroup, needs: Needs, after: Position, now: float
 ) -> Choice:
     """Return the primary for a read that no target should have tried.
 
     With a position to ask for it needs no proof: whoever has the position
     has all that the read must see.
     """
-    agreed = group.leadership
+    agreed = group.record
     news = group.targets.get(agreed.primary) if agreed is not None else None
     if news is None or news.target.name in needs.excluded:
         return NoTarget(reason=Reason.STALE)
@@ -133,8 +133,8 @@
 
 
 def _may_read(
-    group: GroupView,
-    news: TargetNews,
+    group: SessionGroup,
+    news: ListedTarget,
     needs: Needs,
     after: Position,
     now: float,
@@ -142,12 +142,12 @@
     name = news.target.name
     if news.leaving or name in needs.excluded:
         return False
-    view = group.view(name)
+    view = group.observed_target(name)
     return view.applied >= after or now >= view.behind_until
 
 
-def _read_cost(group: GroupView, news: TargetNews, zone: str) -> float:
-    cost = expected_time(group.view(news.target.name))
+def _read_cost(group: SessionGroup, news: ListedTarget, zone: str) -> float:
+    cost = expected_time(group.observed_target(news.target.name))
     if news.target.availability_zone != zone:
         cost += OTHER_ZONE
     if _is_primary(group, news):
@@ -155,6 +155,6 @@
     return cost
 
 
-def _is_primary(group: GroupView, news: TargetNews) -> bool:
-    agreed = group.leadership
+def _is_primary(group: SessionGroup, news: ListedTarget) -> bool:
+    agreed = group.record
     return agreed is not None and agreed.primary == news.target.name
--- a/bamboospring/sessions/target_keeper.py
+++ b/bamboospring/sessions/target_keeper.py
@@ -13,9 +13,9 @@
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Timer
-from bamboospring.sessions.model import GroupView
+from bamboospring.sessions.model import ListedTarget
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.model import TargetNews
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import SessionLink
 from bamboospring.sessions.zone_holders import FEWEST_CONNECTIONS
 from bamboospring.sessions.zone_holders import ZoneHolders
@@ -74,30 +74,30 @@
         platform: PlatformClient,
         pools: Pools[SessionLink],
         kind: str,
-        read: Callable[[Found], TargetNews | None],
-        leaving_limit: float,
-        holders: ZoneHolders,
+        decode_target: Callable[[Found], ListedTarget | None],
+        leaving_timeout: float,
+        zone_holders: ZoneHolders,
     ) -> None:
-        self._holders = holders
-        self._leaving_limit = leaving_limit * LEAVING_PART
+        self._holders = zone_holders
+        self._leaving_limit = leaving_timeout * LEAVING_PART
         self._reactor = reactor
         self._board = board
         self._platform = platform
         self._pools = pools
         self._kind = kind
-        self._read = read
+        self._read = decode_target
         self._missing: dict[str, float] = {}
         self._asked_at = 0.0
         self._relayed_until = -1e9
         self._busy = False
         self._timer: Timer | None = None
-        self.listed: list[TargetNews] = []
+        self.listed: list[ListedTarget] = []
 
     def start(self) -> None:
         """Look at the list now and from then on."""
         self._ask()
 
-    def apply_bounds(self) -> None:
+    def apply_connection_limits(self) -> None:
         """Give each target its bound by the catalog in force."""
         for group in self._board.groups.values():
             for news in group.targets.values():
@@ -107,8 +107,8 @@
         """Return since when a target's entry is missing, None if it is not."""
         return self._missing.get(name)
 
-    def take_relayed(
-        self, listed: list[TargetNews] | None, asked_at: float, until: float
+    def apply_relayed(
+        self, listed: list[ListedTarget] | None, asked_at: float, until: float
     ) -> None:
         """Take the list that the leader has read; None: as we have it."""
         self._relayed_until = until
@@ -155,7 +155,7 @@
             case Unavailable(retry_after=retry_after):
                 self._later(min(INTERVAL, max(retry_after, 0.1)))
 
-    def _still_leaving(self, news: TargetNews) -> TargetNews:
+    def _still_leaving(self, news: ListedTarget) -> ListedTarget:
         """Keep in mind that a target leaves, though the store has lost it."""
         if news.leaving or not self._platform.may_lack(self._asked_at):
             return news
@@ -163,7 +163,7 @@
         leaving = old is not None and old.leaving and old.target == news.target
         return dataclasses.replace(news, leaving=leaving)
 
-    def _take(self, all_news: list[TargetNews], asked_at: float) -> None:
+    def _take(self, all_news: list[ListedTarget], asked_at: float) -> None:
         self._board.targets_seen_at = max(
             self._board.targets_seen_at, asked_at
         )
@@ -171,13 +171,13 @@
         listed = {news.target.name: news for news in all_news}
         for news in listed.values():
             self._take_one(news, now)
-        self.apply_bounds()
+        self.apply_connection_limits()
         for group in self._board.groups.values():
             for name in list(group.targets):
                 if name not in listed:
                     self._take_missing(group, name, now)
 
-    def _take_one(self, news: TargetNews, now: float) -> None:
+    def _take_one(self, news: ListedTarget, now: float) -> None:
         name = news.target.name
         self._missing.pop(name, None)
         group = self._board.group(news.group)
@@ -207,7 +207,9 @@
             known=old is not None,
         )
 
-    def _take_missing(self, group: GroupView, name: str, now: float) -> None:
+    def _take_missing(
+        self, group: SessionGroup, name: str, now: float
+    ) -> None:
         since = self._missing.setdefault(name, now)
         if now - since < GONE_AFTER:
             return
@@ -220,17 +222,17 @@
             missing_ms=round((now - since) * 1000),
         )
 
-    def _drop(self, group: GroupView, news: TargetNews) -> None:
+    def _drop(self, group: SessionGroup, news: ListedTarget) -> None:
         group.targets.pop(news.target.name, None)
-        group.views.pop(news.target.name, None)
+        group.observed_targets.pop(news.target.name, None)
         self._pools.pool(news.target).set_share(Units())
 
-    def _bound(self, news: TargetNews) -> None:
+    def _bound(self, news: ListedTarget) -> None:
         catalog = self._board.catalog
         limits = catalog.groups.get(news.group) if catalog else None
         if limits is None:
             return
-        fair = limits.connections / self._board.vms
+        fair = limits.max_connections / self._board.vm_count
         bound = max(FEWEST_CONNECTIONS, int(fair * SHARE_TIMES))
         connections = bound
         idle, kept = idle_time(fair), max(1, int(fair * KEPT_PART))
@@ -238,7 +240,7 @@
             # Its zone's reads come here: as many as the target runs at once
             # may, over connections that stay for each team's next ones.
             bound = max(bound, news.target.slots)
-            connections = max(bound, int(limits.connections * HOLDER_PART))
+            connections = max(bound, int(limits.max_connections * HOLDER_PART))
             idle, kept = HOLDER_IDLE, connections
         share = Units(slots=bound, connections=connections)
         pool = self._pools.pool(news.target)
--- a/bamboospring/sessions/vm_registry.py
+++ b/bamboospring/sessions/vm_registry.py
@@ -77,11 +77,11 @@
     """Files this VM's entry and reads those of the others."""
 
     def __init__(
-        self, *, reactor: Reactor, platform: PlatformClient, me: ListedVm
+        self, *, reactor: Reactor, platform: PlatformClient, local_vm: ListedVm
     ) -> None:
         self._reactor = reactor
         self._platform = platform
-        self.me = me
+        self.local_vm = local_vm
         self._version = 0
         self._renewals = 0
         self._filed_at = -1e9
@@ -94,7 +94,7 @@
         self._platform.on_return.append(self._store_returned)
         self._file(on_filed)
 
-    def may_take_proofs(self, now: float) -> bool:
+    def can_take_proofs(self, now: float) -> bool:
         """Tell whether this VM is surely on every list."""
         return now - self._filed_at < ISOLATED_AFTER
 
@@ -132,7 +132,7 @@
             if version != vm.version:
                 since = now
             self._unmoved[vm.name] = (vm.version, since)
-            if now - since >= REMOVE_AFTER and vm.name != self.me.name:
+            if now - since >= REMOVE_AFTER and vm.name != self.local_vm.name:
                 self._remove(vm)
 
     def _remove(self, vm: ListedVm) -> None:
@@ -156,9 +156,9 @@
         self._renewals += 1
         sent_at = self._reactor.now()
         value = {
-            "address": self.me.address,
-            "availability_zone": self.me.availability_zone,
-            "nonce": self.me.nonce,
+            "address": self.local_vm.address,
+            "availability_zone": self.local_vm.availability_zone,
+            "nonce": self.local_vm.nonce,
             "renewals": self._renewals,
         }
 
@@ -188,7 +188,7 @@
             self._reactor.call_later(RETRY, lambda: self._file(on_filed))
 
         self._platform.put(
-            VM_KIND, self.me.name, self._version, value, "vm", answered
+            VM_KIND, self.local_vm.name, self._version, value, "vm", answered
         )
 
     def _is_lost(self, version: int) -> bool:
--- a/bamboospring/store_version.py
+++ b/bamboospring/store_version.py
@@ -23,8 +23,8 @@
 
 __all__ = [
     "Dated",
-    "Restorable",
-    "Unsettled",
+    "VersionedState",
+    "UnsettledState",
     "era_of",
     "in_era",
     "revision_of",
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Restorable:
+class VersionedState:
     """What is stored with the era in which it was, so that a return shows.
 
     A store that has come back from an older copy shows states of an earlier
@@ -49,18 +49,18 @@
     era: int = 0
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Tell whether no newer state can have been lost."""
         return self.era == era_of(self.version)
 
     @property
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """Return what orders states by when they were stored."""
         return self.era, revision_of(self.version)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Unsettled:
+class UnsettledState:
     """An object whose newest state the store may have lost.
 
     In `era` it shows a state at `version`, of an earlier era; 0: none.
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -32,7 +32,7 @@
 from bamboospring.sessions.access import is_confirmed
 from bamboospring.sessions.access import judge_access
 from bamboospring.sessions.catalog_keeper import CatalogKeeper
-from bamboospring.sessions.catalog_passing import CatalogPassing
+from bamboospring.sessions.catalog_send_limiter import CatalogSendLimiter
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.node import LINK_TIMING
@@ -110,7 +110,7 @@
 
 
 def make_board(**keys: list[str]) -> SessionBoard:
-    board = SessionBoard(vm="v", availability_zone="z", key_life=KEY_LIFE)
+    board = SessionBoard(vm="v", availability_zone="z", key_lifetime=KEY_LIFE)
     board.catalog = catalog_of(**keys)
     board.catalog_confirmed_at = 100.0
     return board
@@ -288,7 +288,7 @@
     def __init__(self, clock: FakeClock) -> None:
         self.clock = clock
         self.board = SessionBoard(
-            vm="v", availability_zone="z", key_life=KEY_LIFE
+            vm="v", availability_zone="z", key_lifetime=KEY_LIFE
         )
         self.platform = ScriptedPlatform()
         anything: Any = clock
@@ -299,7 +299,7 @@
             platform=store,
             kind="config",
             name="main",
-            read=read_catalog,
+            decode_catalog=read_catalog,
             on_changed=lambda: None,
         )
 
@@ -392,7 +392,7 @@
             if self.chance.random() < 0.5:
                 data = other.keeper.as_bytes()
                 known = other.keeper.version
-            asker.keeper.take_relayed(
+            asker.keeper.apply_relayed(
                 known, 0.0, asked_at - age, self.clock.now() + 0.5, data
             )
 
@@ -792,13 +792,13 @@
     "a configuration of {small:d} bytes is passed on, one of {large:d} is not"
 )
 def then_passable(context: Any, small: int, large: int) -> None:
-    assert len(CatalogPassing().take(b"x" * small, 0.0)) == small
-    assert CatalogPassing().take(b"x" * large, 0.0) == b""
+    assert len(CatalogSendLimiter().data_to_send(b"x" * small, 0.0)) == small
+    assert CatalogSendLimiter().data_to_send(b"x" * large, 0.0) == b""
 
 
 def pass_on(count: int, size: int) -> list[float]:
     """Return when each of so many VMs that ask gets a configuration."""
-    passing, chance = CatalogPassing(), random.Random(1)
+    passing, chance = CatalogSendLimiter(), random.Random(1)
     asks = [
         (chance.uniform(0, 0.6) + 0.6 * turn, number)
         for number in range(count)
@@ -806,7 +806,7 @@
     ]
     has: dict[int, float] = {}
     for at, number in sorted(asks):
-        if number not in has and passing.take(b"x" * size, at):
+        if number not in has and passing.data_to_send(b"x" * size, at):
             has[number] = at
     assert len(has) == count
     return sorted(has.values())
--- a/features/steps/session_decisions_steps.py
+++ b/features/steps/session_decisions_steps.py
@@ -20,32 +20,32 @@
 from bamboospring.outcomes import Reason
 from bamboospring.sessions.farewell import choose_leavers
 from bamboospring.sessions.farewell import sessions_to_close
-from bamboospring.sessions.finish import finished_record
-from bamboospring.sessions.finish import is_overdue
-from bamboospring.sessions.finish import takes_part
 from bamboospring.sessions.freshness import SampleLog
 from bamboospring.sessions.link_setup import link_merit
 from bamboospring.sessions.link_setup import orders_before
 from bamboospring.sessions.model import Catalog
-from bamboospring.sessions.model import Change
 from bamboospring.sessions.model import Freshness
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.model import ListedTarget
+from bamboospring.sessions.model import PendingChange
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.model import TargetNews
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.opening import Hold
 from bamboospring.sessions.opening import judge_opening
+from bamboospring.sessions.overdue_change import finished_record
+from bamboospring.sessions.overdue_change import is_overdue
+from bamboospring.sessions.overdue_change import takes_part
 from bamboospring.sessions.patience import change_patience
 from bamboospring.sessions.ports import Clear
 from bamboospring.sessions.ports import Refusal
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.refusals import behind_pause
 from bamboospring.sessions.refusals import note_refusal
-from bamboospring.sessions.takeover import Cause
 from bamboospring.sessions.takeover import OrderPromotion
 from bamboospring.sessions.takeover import StoreRecord
 from bamboospring.sessions.takeover import Takeover
+from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.target_choice import choose
 from bamboospring.sessions.target_choice import Needs
 from bamboospring.sessions.target_choice import NoTarget
@@ -102,15 +102,15 @@
         availability_zone=zone,
         site=zone,
     )
-    return TargetNews(target=target, group="g", **fields)
+    return ListedTarget(target=target, group="g", **fields)
 
 
 @given("a group with a primary and two replicas")
 def given_group(context):
-    group = GroupView(name="g")
+    group = SessionGroup(name="g")
     for name, zone in (("p", "a"), ("r1", "b"), ("r2", "c")):
         group.targets[name] = news_of(name, zone)
-    group.leadership = Leadership(group="g", version=1, term=1, primary="p")
+    group.record = PrimaryRecord(group="g", version=1, term=1, primary="p")
     group.proof.renew(PROVEN_AT)
     context.group = group
 
@@ -308,7 +308,7 @@
 def registry(results):
     reactor, platform = FakeReactor(), FakePlatform(results)
     me = ListedVm(name="vm", address="a", availability_zone="z", nonce="n")
-    made = VmRegistry(reactor=reactor, platform=platform, me=me)
+    made = VmRegistry(reactor=reactor, platform=platform, local_vm=me)
     return made, reactor, platform
 
 
@@ -433,8 +433,8 @@
 
 @given("a change of primary seen at {at:f} that takes {seconds:f} s")
 def given_change(context, at, seconds):
-    group = GroupView(name="g", changing=True, change_seen_at=at)
-    context.expected = group.expected_at(seconds)
+    group = SessionGroup(name="g", is_changing=True, change_seen_at=at)
+    context.expected = group.change_expected_at(seconds)
 
 
 @then("a statement of {at:f} with {limit:d} s waits until {until:f}")
@@ -481,7 +481,7 @@
 
 @given("a change of primary that was settled at {at:f} and is not proven yet")
 def given_settled(context, at):
-    context.group = GroupView(name="g", settled_at=at)
+    context.group = SessionGroup(name="g", settled_at=at)
 
 
 @then("a proof is due until {until:f}")
@@ -629,19 +629,21 @@
 
 
 def changing(candidate):
-    return Leadership(
+    return PrimaryRecord(
         group="g",
         version=7,
         term=3,
         primary="m0",
-        change=Change(
+        change=PendingChange(
             term=4, vm="v", nonce="n", cause="failed", candidate=candidate
         ),
     )
 
 
 def leading(term):
-    return Report(leads=True, term=term, received_term=term, received=9)
+    return TargetReport(
+        is_primary=True, term=term, received_term=term, received_index=9
+    )
 
 
 @given("a change of term 3 under way whose record names m1")
@@ -670,8 +672,8 @@
 
 @given("a change seen at {at:g}")
 def given_seen(context, at):
-    context.group = GroupView(name="g")
-    context.group.leadership = changing("m1")
+    context.group = SessionGroup(name="g")
+    context.group.record = changing("m1")
     context.group.change_seen_at = at
 
 
@@ -695,8 +697,8 @@
     change = Takeover(
         vm="v",
         nonce="n",
-        cause=Cause.GONE,
-        record=Leadership(group="g", version=1, term=1, primary="m0"),
+        cause=TakeoverCause.GONE,
+        record=PrimaryRecord(group="g", version=1, term=1, primary="m0"),
         targets=("m0", "m1", "m2"),
     )
     change.begin(0.0)
@@ -711,11 +713,11 @@
 
 
 def replica(received, held_term=0):
-    return Report(
-        leads=False,
+    return TargetReport(
+        is_primary=False,
         term=1,
         received_term=1,
-        received=received,
+        received_index=received,
         held_term=held_term,
     )
 
--- a/features/steps/session_worlds.py
+++ b/features/steps/session_worlds.py
@@ -19,28 +19,28 @@
 import orjson
 
 from bamboospring.blackboard import Target
-from bamboospring.sessions.finish import finished_record
 from bamboospring.sessions.model import Freshness
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.model import ListedTarget
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.model import TargetNews
+from bamboospring.sessions.model import SessionGroup
+from bamboospring.sessions.overdue_change import finished_record
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import HoldTerm
 from bamboospring.sessions.ports import PromotionResult
 from bamboospring.sessions.proofs import others_agree
-from bamboospring.sessions.proofs import PROOF_LIFE
-from bamboospring.sessions.proofs import Report
+from bamboospring.sessions.proofs import PROOF_LIFETIME
+from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.settlement import latest_known
-from bamboospring.sessions.settlement import settled_record
-from bamboospring.sessions.takeover import Cause
+from bamboospring.sessions.settled_record import latest_known
+from bamboospring.sessions.settled_record import settled_record
 from bamboospring.sessions.takeover import OrderPromotion
-from bamboospring.sessions.takeover import Phase
 from bamboospring.sessions.takeover import ReadRecord
 from bamboospring.sessions.takeover import StoreRecord
 from bamboospring.sessions.takeover import Takeover
+from bamboospring.sessions.takeover import TakeoverCause
+from bamboospring.sessions.takeover import TakeoverPhase
 from bamboospring.sessions.takeover import TellTarget
 from bamboospring.sessions.target_choice import choose
 from bamboospring.sessions.target_choice import Needs
@@ -82,11 +82,11 @@
     up: bool = True
 
     def report(self):
-        return Report(
-            leads=self.leads,
+        return TargetReport(
+            is_primary=self.leads,
             term=self.term,
             received_term=self.term,
-            received=self.received,
+            received_index=self.received,
             held_term=self.held,
         )
 
@@ -105,13 +105,13 @@
             board=board,
             platform=None,
             questions=None,
-            may_take_proofs=lambda now: True,
-            on_failed=lambda group, primary: None,
+            can_take_proofs=lambda now: True,
+            on_primary_failed=lambda group, primary: None,
         )
 
     @property
     def record(self):
-        return self.group.leadership
+        return self.group.record
 
     @property
     def proof(self):
@@ -162,11 +162,11 @@
         self.revision = 1
         self.states = []
         self.write(
-            Leadership(group="g", version=0, term=1, primary="m0", era=1)
+            PrimaryRecord(group="g", version=0, term=1, primary="m0", era=1)
         )
         self.vms = [FakeVm(Clock(self)) for _ in range(3)]
         for vm in self.vms:
-            vm.keeper.take(self.record)
+            vm.keeper.apply(self.record)
         self.changes = []
         self.unsettled_at = None
         self.ordered = 0
@@ -299,7 +299,9 @@
             return
         self.seen.counts["replaced_unsettled"] += 1
         self.begin(
-            number, Cause.UNSETTLED, latest_known(known, unsettled, reports)
+            number,
+            TakeoverCause.UNSETTLED,
+            latest_known(known, unsettled, reports),
         )
 
     def leads_by(self, change):
@@ -431,7 +433,7 @@
     def lead(self, number):
         if not self.leads(number) or not self.record.current:
             return
-        cause = Cause.UNREACHED if number else Cause.GONE
+        cause = TakeoverCause.UNREACHED if number else TakeoverCause.GONE
         self.begin(number, cause, self.record)
 
     def begin(self, number, cause, record):
@@ -455,7 +457,7 @@
         if change.over:
             return
         self.at(0.1, lambda: self.tick(change))
-        if not self.wait and change.phase is Phase.WAIT:
+        if not self.wait and change.phase is TakeoverPhase.WAIT:
             self.act(change, change.all_released(self.now))
             return
         self.act(change, change.tick(self.now))
@@ -506,21 +508,21 @@
                     member.held = term
                 report = member.report()
                 if not self.hold:
-                    report = Report(
-                        leads=False,
+                    report = TargetReport(
+                        is_primary=False,
                         term=member.term,
                         received_term=member.term,
-                        received=member.received,
+                        received_index=member.received,
                         held_term=term,
                     )
             case AskReport():
                 report = member.report()
                 if not self.hold and name == change.holder:
-                    report = Report(
-                        leads=member.leads,
+                    report = TargetReport(
+                        is_primary=member.leads,
                         term=member.term,
                         received_term=member.term,
-                        received=member.received,
+                        received_index=member.received,
                         held_term=change.term,
                     )
         back = self.random.uniform(0.001, 0.15)
@@ -566,7 +568,7 @@
             uses_other = vm.record.primary != name
             if uses_other and vm.record.change is None:
                 if vm.proof.covers(self.now):
-                    left = vm.proof.asked_at + PROOF_LIFE - self.now
+                    left = vm.proof.asked_at + PROOF_LIFETIME - self.now
                     self.seen.wrong.append(
                         f"vm{number} uses {vm.record.primary} for "
                         f"{left:.3f} s after {name} leads"
@@ -618,7 +620,7 @@
         self.now = 100.0
         self.applied = {name: 0 for name in NAMES}
         self.commits = []
-        self.group = GroupView(name="g")
+        self.group = SessionGroup(name="g")
         for name in NAMES:
             target = Target(
                 name=name,
@@ -626,8 +628,8 @@
                 availability_zone=name,
                 site=name,
             )
-            self.group.targets[name] = TargetNews(target=target, group="g")
-        self.group.leadership = Leadership(
+            self.group.targets[name] = ListedTarget(target=target, group="g")
+        self.group.record = PrimaryRecord(
             group="g", version=1, term=1, primary="m0"
         )
         self.written = 0
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -15,8 +15,8 @@
 from bamboospring.settings_base import parse_as
 
 LOAD = """
-import sys
 import bamboospring.platform.__main__
+import sys
 print(" ".join(sys.modules))
 """
 
--- a/features/steps/store_restore_steps.py
+++ b/features/steps/store_restore_steps.py
@@ -11,7 +11,7 @@
 from behave import then
 from behave import when
 
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.model import PrimaryRecord
 from features.steps.session_stage import act
 from features.steps import session_worlds
 
@@ -126,7 +126,7 @@
 
 @then("in {count:d} explored returns a restored record that proves is found")
 def then_found(context: Any, count: int) -> None:
-    with mock.patch.object(Leadership, "current", True):
+    with mock.patch.object(PrimaryRecord, "current", True):
         seen = session_worlds.explore_changes(
             count, finish=True, restores=True
         )
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -15,11 +15,11 @@
 from bamboospring.object_store import Stored
 from bamboospring.object_store import Unavailable
 from bamboospring.peers import envelope
-from bamboospring.sessions.model import Change
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.model import ListedTarget
+from bamboospring.sessions.model import PendingChange
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.model import TargetNews
-from bamboospring.sessions.release import Releases
+from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.target_keeper import TargetKeeper
 from bamboospring.sessions.vm_registry import ListedVm
 from bamboospring.sessions.vm_registry import VM_KIND
@@ -121,11 +121,11 @@
     context.reactor, context.platform = SimReactor(), SimPlatform()
     context.platform.now = context.reactor.now
     context.registry = VmRegistry(
-        reactor=context.reactor, platform=context.platform, me=ME
+        reactor=context.reactor, platform=context.platform, local_vm=ME
     )
     context.registry.start(lambda: None)
     context.reactor.run(1.0)
-    assert context.registry.may_take_proofs(context.reactor.now())
+    assert context.registry.can_take_proofs(context.reactor.now())
 
 
 @when("the store comes back and does not answer")
@@ -157,7 +157,7 @@
     context.platform.era = 1
     context.platform.answer_from = 0
     context.registry = VmRegistry(
-        reactor=context.reactor, platform=context.platform, me=ME
+        reactor=context.reactor, platform=context.platform, local_vm=ME
     )
     context.registry.start(lambda: None)
 
@@ -192,7 +192,7 @@
 class SimRecords:
     """Takes every record."""
 
-    def take(self, record: Leadership) -> None:
+    def take(self, record: PrimaryRecord) -> None:
         pass
 
 
@@ -201,7 +201,7 @@
     given_filed(context)
     context.peers = SimPeers()
     board = SessionBoard(vm=ME.name, availability_zone="z")
-    context.releases = Releases(
+    context.releases = ProofReleases(
         reactor=context.reactor,
         board=board,
         peers=context.peers,
@@ -214,8 +214,8 @@
 def when_asked(context: Any) -> None:
     context.released = []
     context.peers.told = 0
-    change = Change(term=2, vm="vm0", nonce="n", cause="failed")
-    record = Leadership(
+    change = PendingChange(term=2, vm="vm0", nonce="n", cause="failed")
+    record = PrimaryRecord(
         group="g", version=7, term=1, primary="m0", change=change
     )
     context.releases.ask_all(record, lambda: context.released.append(1))
@@ -260,10 +260,10 @@
         on_result(Changes(objects=(found,), revision=9))
 
 
-def read_listed(found: Found) -> TargetNews:
+def read_listed(found: Found) -> ListedTarget:
     """Read an entry that only says whether its target leaves."""
     target = Target(name="m0", address="a:1", availability_zone="z", site="z")
-    return TargetNews(target=target, group="g", leaving=found.value)
+    return ListedTarget(target=target, group="g", leaving=found.value)
 
 
 @given("a VM that has seen a target leave")
@@ -278,9 +278,9 @@
         platform=context.platform,
         pools=unused,
         kind="servers",
-        read=read_listed,
-        leaving_limit=7.0,
-        holders=unused,
+        decode_target=read_listed,
+        leaving_timeout=7.0,
+        zone_holders=unused,
     )
     context.keeper.start()
     context.reactor.run(0.1)
--- a/features/steps/team_quota_steps.py
+++ b/features/steps/team_quota_steps.py
@@ -41,7 +41,7 @@
 from bamboospring.sessions.team_quota import TeamQuotas
 from bamboospring.sessions.team_quota import Tolerance
 from bamboospring.store_version import revision_of
-from bamboospring.store_version import Unsettled
+from bamboospring.store_version import UnsettledState
 from bamboospring.store_version import version_of
 from features.steps.unanswered_steps import FakeClock
 
@@ -125,7 +125,7 @@
     known: QuotaHolders | None = None
     confirmed_at: float = -1e9
     seen_at: float = -1e9
-    unsettled: Unsettled | None = None
+    unsettled: UnsettledState | None = None
     returned_at: float = -1e9
 
 
@@ -169,12 +169,12 @@
         stored = self.stored
         if stored is None:
             return
-        if vm.known is None or stored.order > vm.known.order:
+        if vm.known is None or stored.sort_key > vm.known.sort_key:
             vm.known, vm.seen_at = stored, self.now
-        if stored.current:
+        if stored.is_current:
             vm.unsettled, vm.confirmed_at = None, self.now
         elif vm.unsettled is None or vm.unsettled.era < self.era:
-            vm.unsettled = Unsettled(era=self.era, version=stored.version)
+            vm.unsettled = UnsettledState(era=self.era, version=stored.version)
             vm.returned_at = self.now
 
     def lead(self, vm: WorldVm, listed: list[QuotaVm]) -> None:
@@ -210,7 +210,7 @@
 
 
 def store_at_once(
-    known: QuotaHolders, unsettled: Unsettled, **_times: float
+    known: QuotaHolders, unsettled: UnsettledState, **_times: float
 ) -> QuotaHolders:
     """Settle a choice without a wait, whoever does it."""
     return replace(known, version=unsettled.version, era=unsettled.era)
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -37,16 +37,16 @@
 from bamboospring.pool import Pool
 from bamboospring.pool import PoolTiming
 from bamboospring.pools import Pools
-from bamboospring.sessions.judgement import judge
-from bamboospring.sessions.judgement import PrimarySight
-from bamboospring.sessions.model import GroupView
-from bamboospring.sessions.model import Leadership
-from bamboospring.sessions.model import TargetNews
+from bamboospring.sessions.model import ListedTarget
+from bamboospring.sessions.model import PrimaryRecord
+from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.node import LINK_BREAKER
 from bamboospring.sessions.ports import AskReport
+from bamboospring.sessions.primary_health import PrimarySight
+from bamboospring.sessions.primary_health import replacement_cause
 from bamboospring.sessions.questions import NoReport
 from bamboospring.sessions.questions import TargetQuestions
-from bamboospring.sessions.takeover import Cause
+from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.shares import Units
 from bamboospring.target_link import Health
 from bamboospring.target_link import Opened
@@ -303,8 +303,8 @@
 @when("the target is asked for its report by one who leads")
 def when_reported(context: Any) -> None:
     world = context.world
-    group = GroupView(name="g")
-    group.targets["t"] = TargetNews(target=world.pool.target, group="g")
+    group = SessionGroup(name="g")
+    group.targets["t"] = ListedTarget(target=world.pool.target, group="g")
     pools: Any = Pools(
         reactor=world.clock,
         make_dialer=lambda target, on_ended: world.dialer,
@@ -346,14 +346,14 @@
 @then("a process that takes the lead at {at:g} replaces its primary at once")
 def then_replaced(context: Any, at: float) -> None:
     pool = context.world.pool
-    group = GroupView(name="g")
-    group.leadership = Leadership(group="g", version=1, term=1, primary="t")
+    group = SessionGroup(name="g")
+    group.record = PrimaryRecord(group="g", version=1, term=1, primary="t")
     sight = PrimarySight(
         unanswered_since=pool.unanswered_since,
         refused_since=pool.refused_since,
     )
-    assert judge(group, sight, at) is Cause.FAILED
-    assert judge(group, PrimarySight(), at) is None
+    assert replacement_cause(group, sight, at) is TakeoverCause.FAILED
+    assert replacement_cause(group, PrimarySight(), at) is None
 
 
 @given("five connections at rest of which {kept:d} may rest for {idle:g} s")
--- a/features/steps/zone_holders_steps.py
+++ b/features/steps/zone_holders_steps.py
@@ -39,10 +39,10 @@
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import Freshness
 from bamboospring.sessions.model import GroupLimits
-from bamboospring.sessions.model import Leadership
+from bamboospring.sessions.model import ListedTarget
+from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.model import TargetNews
 from bamboospring.sessions.node import LINK_BREAKER
 from bamboospring.sessions.node import LINK_TIMING
 from bamboospring.sessions.ports import LinkLost
@@ -253,16 +253,14 @@
         clock: Any = crowd.clock
         self.runner_clock = clock
         self.board = SessionBoard(vm=self.listed.name, availability_zone=zone)
-        self.board.vms = crowd.count
-        limits = GroupLimits(name="g", connections=crowd.target.places)
+        self.board.vm_count = crowd.count
+        limits = GroupLimits(name="g", max_connections=crowd.target.places)
         self.board.catalog = Catalog(
             version=1, routes={"d": ROUTE}, groups={"g": limits}
         )
         group = self.board.group("g")
-        group.leadership = Leadership(
-            group="g", version=1, term=1, primary="t"
-        )
-        group.targets["t"] = TargetNews(target=TARGET, group="g", leads=True)
+        group.record = PrimaryRecord(group="g", version=1, term=1, primary="t")
+        group.targets["t"] = ListedTarget(target=TARGET, group="g", leads=True)
         self.pools: Any = Pools(
             reactor=clock,
             make_dialer=lambda target, on_ended: FakeDialer(
@@ -288,9 +286,9 @@
             platform=None,  # type: ignore[arg-type]
             pools=self.pools,
             kind="",
-            read=lambda found: None,
-            leaving_limit=7.0,
-            holders=self.holders,
+            decode_target=lambda found: None,
+            leaving_timeout=7.0,
+            zone_holders=self.holders,
         )
         self.runner = StatementRunner(
             reactor=clock,
@@ -365,7 +363,7 @@
                 [v.listed for v in self.vms if v.up and v.zone == vm.zone],
                 now,
             )
-            vm.keeper.apply_bounds()
+            vm.keeper.apply_connection_limits()
 
     def load(
         self, rate: float, seconds: float, *, writes: float = 0.0, teams=1
