--- a/bamboospring/platform/caller_lines.py
+++ b/bamboospring/platform/caller_lines.py
@@ -18,26 +18,26 @@
 from bamboospring.reactor import Listener
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Stream
-from bamboospring.sessions.opening import Admit
-from bamboospring.sessions.opening import Hold
-from bamboospring.sessions.outside import MakeSession
-from bamboospring.sessions.ports import Acknowledged
+from bamboospring.sessions.platform_adapters import SessionFactory
+from bamboospring.sessions.ports import AcknowledgedLocally
 from bamboospring.sessions.ports import Begin
 from bamboospring.sessions.ports import Commit
+from bamboospring.sessions.ports import Deallocate
 from bamboospring.sessions.ports import Execute
-from bamboospring.sessions.ports import Malformed
+from bamboospring.sessions.ports import MalformedStatement
 from bamboospring.sessions.ports import Prepare
-from bamboospring.sessions.ports import Release
 from bamboospring.sessions.ports import Rollback
 from bamboospring.sessions.ports import Served
 from bamboospring.sessions.ports import SessionAnswer
 from bamboospring.sessions.ports import SessionOutcome
 from bamboospring.sessions.ports import SessionState
+from bamboospring.sessions.ports import SessionStatement
 from bamboospring.sessions.ports import SetValue
 from bamboospring.sessions.ports import Shape
-from bamboospring.sessions.ports import Statement
-from bamboospring.sessions.ports import Work
+from bamboospring.sessions.ports import TextStatement
 from bamboospring.sessions.session import Session
+from bamboospring.sessions.session_opening import OpeningCheck
+from bamboospring.sessions.session_opening import OpeningPending
 
 __all__ = ["CallerServer", "read_statement"]
 
@@ -69,14 +69,14 @@
 UNKNOWN_CODES = {Reason.DEADLINE: "TIMEOUT"}
 
 
-def read_statement(text: str) -> Statement:
+def read_statement(text: str) -> SessionStatement:
     """Read the text of a query."""
     word, _, rest = text.partition(" ")
     match word:
         case "READ" if rest:
-            return Work(writes=False, text=text)
+            return TextStatement(writes=False, text=text)
         case "WRITE" if rest:
-            return Work(writes=True, text=text)
+            return TextStatement(writes=True, text=text)
         case "EXECUTE" if rest:
             name, _, arguments = rest.partition(" ")
             return Execute(name=name, arguments=arguments)
@@ -92,16 +92,20 @@
         case "PREPARE":
             return _prepare(rest)
         case "RELEASE" if rest:
-            return Release(name=rest)
+            return Deallocate(name=rest)
         case _:
-            return Malformed(message=f"unknown statement {word[:32]!r}")
+            return MalformedStatement(
+                message=f"unknown statement {word[:32]!r}"
+            )
 
 
-def _prepare(rest: str) -> Statement:
+def _prepare(rest: str) -> SessionStatement:
     name, _, shape = rest.partition(" ")
     mode, _, text = shape.partition(" ")
     if not name or not text or mode not in ("READ", "WRITE"):
-        return Malformed(message="PREPARE needs a name, READ|WRITE, a shape")
+        return MalformedStatement(
+            message="PREPARE needs a name, READ|WRITE, a shape"
+        )
     return Prepare(name=name, shape=Shape(writes=mode == "WRITE", text=text))
 
 
@@ -119,7 +123,7 @@
             lines = [f"ROW {row}" for row in rows]
             lines.append(f"COMPLETE {signature}")
             return lines
-        case Acknowledged():
+        case AcknowledgedLocally():
             return ["COMPLETE -"]
         case NotRun(reason=reason):
             code = NOT_RUN_CODES.get(reason, "ABORTED")
@@ -156,8 +160,8 @@
         *,
         reactor: Reactor,
         address: str,
-        admit: Admit,
-        make_session: MakeSession,
+        admit: OpeningCheck,
+        make_session: SessionFactory,
     ) -> None:
         self.reactor = reactor
         self.admit = admit
@@ -201,16 +205,16 @@
     def answer(self, answer: SessionAnswer) -> None:
         """Send the answer to the statement under way."""
         self._stream.send(answer_lines(answer))
-        if self._paused and self.session and not self.session.is_full:
+        if self._paused and self.session and not self.session.is_backlog_full:
             self._paused = False
             self._stream.resume()
 
-    def dismiss(self, refusal: NotRun) -> None:
+    def begin_refusal(self, refusal: NotRun) -> None:
         """Send the beginning of an answer before anything was asked."""
         lines = _outcome_lines(refusal)
         self._stream.send(f"{lines[0]}\r\n".encode("latin-1", "replace"))
 
-    def conclude(self, state: SessionState) -> None:
+    def finish_refusal(self, state: SessionState) -> None:
         """Send the end of the answer that `dismiss` began."""
         line = f"READY {STATES[state]} {position_text(None)}\r\n"
         self._stream.send(line.encode("latin-1", "replace"))
@@ -230,7 +234,7 @@
             if self._stream.closed or self._stream.closing:
                 return
             self._line(line)
-        if self.session is not None and self.session.is_full:
+        if self.session is not None and self.session.is_backlog_full:
             self._paused = True
             self._stream.pause()
 
@@ -261,7 +265,7 @@
         since = reactor.now() if held_since is None else held_since
         held_for = reactor.now() - since
         refusal = self._server.admit(database, credential, held_for)
-        if isinstance(refusal, Hold):
+        if isinstance(refusal, OpeningPending):
             self._held = self._held or []
             reactor.call_later(
                 refusal.recheck, lambda: self._open_again(rest, since)
@@ -305,4 +309,4 @@
         self._timer.cancel()
         self._server.callers.discard(self)
         if self.session is not None:
-            self.session.end()
+            self.session.handle_disconnect()
--- a/bamboospring/platform/orders.py
+++ b/bamboospring/platform/orders.py
@@ -36,7 +36,7 @@
         holder: str,
         fence: int,
         timeout: float,
-        on_done: Callable[[PromotionResult], None],
+        on_complete: Callable[[PromotionResult], None],
     ) -> None:
         """Order it under the fencing number of the holder's lease."""
         conn = HttpConnection(reactor=self._reactor, address=self._address)
@@ -48,7 +48,7 @@
 
         def connected(ok: bool) -> None:
             if not ok:
-                on_done(PromotionResult.NOT_SENT)
+                on_complete(PromotionResult.NOT_SENT)
                 return
             conn.request(
                 "POST", "/promotion", body, timeout, answered, headers
@@ -56,7 +56,7 @@
 
         def answered(answer: HttpAnswer | HttpLost) -> None:
             conn.close()
-            on_done(_result(answer))
+            on_complete(_result(answer))
 
         conn.connect(timeout, connected)
 
--- a/bamboospring/platform/outside.py
+++ b/bamboospring/platform/outside.py
@@ -13,18 +13,18 @@
 from bamboospring.platform.store import StoreDialect
 from bamboospring.platform.target_lines import LineDialer
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.outside import Admit
-from bamboospring.sessions.outside import MakeSession
-from bamboospring.sessions.outside import Outside
+from bamboospring.sessions.platform_adapters import OpeningCheck
+from bamboospring.sessions.platform_adapters import PlatformAdapters
+from bamboospring.sessions.platform_adapters import SessionFactory
 
 __all__ = ["make_outside"]
 
 READINESS_PATH = "/api/readiness"
 
 
-def make_outside() -> Outside:
+def make_outside() -> PlatformAdapters:
     """Return the adapters."""
-    return Outside(
+    return PlatformAdapters(
         dialect=StoreDialect(),
         catalog_kind=CATALOG_KIND,
         catalog_name=CATALOG_NAME,
@@ -47,7 +47,10 @@
 
 
 def _make_listener(
-    reactor: Reactor, address: str, admit: Admit, make_session: MakeSession
+    reactor: Reactor,
+    address: str,
+    admit: OpeningCheck,
+    make_session: SessionFactory,
 ) -> CallerServer:
     return CallerServer(
         reactor=reactor,
--- a/bamboospring/platform/target_lines.py
+++ b/bamboospring/platform/target_lines.py
@@ -17,13 +17,12 @@
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import Assign
 from bamboospring.sessions.ports import BeginWork
-from bamboospring.sessions.ports import Clear
 from bamboospring.sessions.ports import CommitWork
 from bamboospring.sessions.ports import HoldTerm
 from bamboospring.sessions.ports import LinkLost
-from bamboospring.sessions.ports import Order
 from bamboospring.sessions.ports import PrepareShape
 from bamboospring.sessions.ports import Refusal
+from bamboospring.sessions.ports import ResetConnection
 from bamboospring.sessions.ports import ResumeReceiving
 from bamboospring.sessions.ports import RollbackWork
 from bamboospring.sessions.ports import RunShape
@@ -31,6 +30,7 @@
 from bamboospring.sessions.ports import SessionState
 from bamboospring.sessions.ports import Shape
 from bamboospring.sessions.ports import StepDown
+from bamboospring.sessions.ports import TargetOrder
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.proofs import TargetReport
 from bamboospring.statements import Position
@@ -88,7 +88,7 @@
         self._reactor = reactor
         self._stream = stream
         self._buffer = LineBuffer()
-        self._orders: Sequence[Order] = ()
+        self._orders: Sequence[TargetOrder] = ()
         self._replies: list[TargetReply] = []
         self._reply = TargetReply()
         self._timer: Timer | None = None
@@ -124,21 +124,21 @@
 
     def send(
         self,
-        orders: Sequence[Order],
+        orders: Sequence[TargetOrder],
         timeout: float,
-        on_done: Callable[[list[TargetReply] | LinkLost], None],
+        on_complete: Callable[[list[TargetReply] | LinkLost], None],
     ) -> None:
         """Send all orders at once and call back with all the answers."""
         if not self.usable:
-            self._reactor.call_later(0, lambda: on_done(LinkLost()))
+            self._reactor.call_later(0, lambda: on_complete(LinkLost()))
             return
-        self._begin(orders, timeout, on_done)
+        self._begin(orders, timeout, on_complete)
         data = "".join(map(_line, orders)).encode("latin-1")
         self._stream.send(data)
 
     def _begin(
         self,
-        orders: Sequence[Order],
+        orders: Sequence[TargetOrder],
         timeout: float,
         on_done: Callable[[list[TargetReply] | LinkLost], None],
     ) -> None:
@@ -194,12 +194,12 @@
         if len(self._replies) >= len(self._orders):
             self._finish(self._replies)
 
-    def _take(self, order: Order, reply: TargetReply) -> None:
+    def _take(self, order: TargetOrder, reply: TargetReply) -> None:
         """Mirror what the target has done with an order."""
         if reply.refusal is not None:
             return
         match order:
-            case Clear():
+            case ResetConnection():
                 self.values = {}
                 self.shapes = set()
             case Assign(name=name, value=value):
@@ -211,7 +211,7 @@
 
     def _timed_out(self) -> None:
         self._timer = None
-        self._lose(LinkLost(silent=True))
+        self._lose(LinkLost(unresponsive=True))
 
     def _closed(self) -> None:
         self._finish(LinkLost())
@@ -229,7 +229,7 @@
             done(result)
 
 
-def _line(order: Order) -> str:
+def _line(order: TargetOrder) -> str:
     match order:
         case RunText(id=id, text=text, after=after):
             return f"QUERY {id} {_after(after)}{text}\r\n"
@@ -243,7 +243,7 @@
         case BeginWork(read_only=read_only, after=after):
             mode = " READ" if read_only else ""
             return f"QUERY - {_after(after)}BEGIN{mode}\r\n"
-        case Clear():
+        case ResetConnection():
             return "QUERY - RESET\r\n"
         case Assign(name=name, value=value):
             return f"QUERY - SET {name} {value}\r\n"
@@ -347,14 +347,14 @@
 
         def answered(result: list[TargetReply] | LinkLost) -> None:
             match result:
-                case LinkLost(silent=True):
+                case LinkLost(unresponsive=True):
                     on_done(Health.SILENT)
                 case LinkLost():
                     on_done(Health.CLOSED)
                 case _:
                     on_done(Health.ALIVE)
 
-        link.send([Clear()], timeout, answered)
+        link.send([ResetConnection()], timeout, answered)
 
     def end(self, number: int) -> None:
         """Do nothing: a target drops a connection whose end is gone."""
--- a/bamboospring/sessions/change_finisher.py
+++ b/bamboospring/sessions/change_finisher.py
@@ -20,9 +20,9 @@
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.proofs import TargetReport
-from bamboospring.sessions.questions import NoReport
-from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.record_keeper import RecordKeeper
+from bamboospring.sessions.target_control import NoReport
+from bamboospring.sessions.target_control import TargetControl
 from bamboospring.store_version import version_text
 
 __all__ = ["ChangeFinisher"]
@@ -45,7 +45,7 @@
         reactor: Reactor,
         board: SessionBoard,
         platform: PlatformClient,
-        questions: TargetQuestions,
+        questions: TargetControl,
         records: RecordKeeper,
         releases: ProofReleases,
         draw: int,
--- a/bamboospring/sessions/patience.py
+++ b/bamboospring/sessions/change_wait.py
@@ -8,7 +8,7 @@
 
 from bamboospring.sessions.replies import CHANGE_RETRY_MS
 
-__all__ = ["CHANGE_RESERVE", "CHANGE_SLACK", "change_patience"]
+__all__ = ["CHANGE_RESERVE", "CHANGE_SLACK", "change_wait"]
 
 # After its expected end a change may take so much longer, in seconds, and a
 # statement that waits for the end needs so much time to run.
@@ -16,7 +16,7 @@
 CHANGE_RESERVE = 0.1
 
 
-def change_patience(
+def change_wait(
     expected: float, *, now: float, deadline: float, usual: float
 ) -> tuple[float, float]:
     """Return until when to wait for a change, and when to come back.
--- a/bamboospring/sessions/attempt.py
+++ b/bamboospring/sessions/direct_attempt.py
@@ -11,35 +11,35 @@
 from bamboospring.outcomes import Unknown
 from bamboospring.pool import Asked
 from bamboospring.pool import Leased
-from bamboospring.sessions.link_setup import link_merit
-from bamboospring.sessions.link_setup import orders_before
+from bamboospring.sessions.link_setup import link_fit
+from bamboospring.sessions.link_setup import setup_orders
 from bamboospring.sessions.ports import BeginWork
 from bamboospring.sessions.ports import LinkLost
 from bamboospring.sessions.ports import Refusal
 from bamboospring.sessions.ports import SessionLink
 from bamboospring.sessions.ports import SessionOutcome
 from bamboospring.sessions.ports import TargetReply
-from bamboospring.sessions.refusals import costs_nothing
-from bamboospring.sessions.refusals import may_try_again
-from bamboospring.sessions.refusals import note_refusal
+from bamboospring.sessions.refusals import can_retry
+from bamboospring.sessions.refusals import is_free_retry
+from bamboospring.sessions.refusals import record_refusal
 from bamboospring.sessions.replies import CHANGE_RETRY_MS
-from bamboospring.sessions.replies import learn_from
-from bamboospring.sessions.replies import order_of
+from bamboospring.sessions.replies import order_for_job
+from bamboospring.sessions.replies import record_reply
 from bamboospring.sessions.replies import refused_from
-from bamboospring.sessions.replies import served_from
+from bamboospring.sessions.replies import served_outcome
 from bamboospring.sessions.target_choice import SendTo
 
 if TYPE_CHECKING:
-    from bamboospring.sessions.run import Run
+    from bamboospring.sessions.statement_execution import StatementExecution
 
-__all__ = ["Attempt"]
+__all__ = ["DirectAttempt"]
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Attempt:
+class DirectAttempt:
     """One try of a run at one target."""
 
-    run: Run
+    run: StatementExecution
     choice: SendTo
     sent: bool = False
     sent_at: float = 0.0
@@ -59,12 +59,12 @@
         self.asked = run.runner.pools.acquire(
             self.choice.news.target,
             run.deadline,
-            run.session.queued_as,
+            run.session.queue_key,
             self._ready,
             writes=job.writes or tx_writes,
             team=run.session.identity.team,
             urgency=job.route.urgency,
-            merit=lambda link: link_merit(link, values, job.shape),
+            merit=lambda link: link_fit(link, values, job.shape),
         )
 
     def withdraw(self) -> None:
@@ -89,7 +89,7 @@
             begin = BeginWork(
                 read_only=run.tx.read_only, after=self.choice.after
             )
-        orders = orders_before(
+        orders = setup_orders(
             leased.conn, run.session.values, run.job.shape, begin
         )
         if not orders:
@@ -138,7 +138,7 @@
             proof_age=now - run.group.proof.asked_at,
         )
         if run.tx is not None:
-            run.tx.wrote = run.tx.wrote or job.writes
+            run.tx.has_written = run.tx.has_written or job.writes
 
         def answered(result: list[TargetReply] | LinkLost) -> None:
             view.in_flight -= 1
@@ -149,7 +149,7 @@
                 self._answered(result[0])
 
         self.leased.conn.send(
-            [order_of(job, after)], max(0.0, run.left()), answered
+            [order_for_job(job, after)], max(0.0, run.left()), answered
         )
         run.start_hedge(view)
 
@@ -160,13 +160,13 @@
     def _lost(self, lost: LinkLost) -> None:
         run = self.run
         self._link_lost()
-        reason = Reason.DEADLINE if lost.silent else Reason.ANSWER_LOST
+        reason = Reason.DEADLINE if lost.unresponsive else Reason.ANSWER_LOST
         if run.tx is not None:
             # Rolled back with its connection; a commit that is the first
             # statement has nothing to commit.
-            run.tx.wrote = False
+            run.tx.has_written = False
             refusal = NotRun(reason=Reason.TRANSACTION_LOST)
-            run.failed(self, refusal, again=not lost.silent)
+            run.failed(self, refusal, again=not lost.unresponsive)
             return
         run.failed(self, Unknown(reason=reason), again=not run.job.writes)
 
@@ -178,7 +178,7 @@
         assert self.leased is not None
         run = self.run
         now = run.runner.reactor.now()
-        learn_from(run.group, self.target, reply, self.sent_at, now)
+        record_reply(run.group, self.target, reply, self.sent_at, now)
         if reply.refusal is not None:
             self._refused(reply)
             return
@@ -186,7 +186,7 @@
             run.runner.give_back(self.leased)
             return
         self._keep_or_release()
-        outcome: SessionOutcome = served_from(
+        outcome: SessionOutcome = served_outcome(
             reply, self.target, self.choice.at_replica
         )
         if run.job.writes and run.tx is None:
@@ -210,7 +210,7 @@
         run = self.run
         refusal = reply.refusal
         now = run.runner.reactor.now()
-        note_refusal(
+        record_refusal(
             run.group, self.target, refusal, now, needed=self.choice.after
         )
         if refusal is Refusal.NOT_PRIMARY:
@@ -218,12 +218,12 @@
         elif refusal is Refusal.UNKNOWN_SHAPE:
             self.leased.conn.shapes.clear()
         run.runner.give_back(self.leased)
-        again = may_try_again(refusal, writes=run.job.writes)
+        again = can_retry(refusal, writes=run.job.writes)
         if run.tx is not None and again:
-            run.tx.wrote = False
+            run.tx.has_written = False
         run.failed(
             self,
             refused_from(reply),
             again=again,
-            free=costs_nothing(refusal, urgent=run.urgent),
+            free=is_free_retry(refusal, urgent=run.urgent),
         )
--- a/bamboospring/sessions/held_messages.py
+++ b/bamboospring/sessions/forward_messages.py
@@ -20,8 +20,8 @@
 from bamboospring.statements import Position
 
 __all__ = [
-    "HeldStatement",
-    "HeldResult",
+    "ForwardRequest",
+    "ForwardResult",
     "decode_statement",
     "decode_result",
     "encode_statement",
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HeldStatement:
+class ForwardRequest:
     """A single statement, with all that its holder needs to run it.
 
     `born` and `address` name the target's life that was chosen. `text` is
@@ -48,8 +48,8 @@
     address: str
     born: int
     values: dict[str, str]
-    left: float
-    patience: float
+    remaining: float
+    slot_timeout: float
     urgency: int = 0
     writes: bool = False
     text: str | None = None
@@ -60,7 +60,7 @@
 
 # What became of it: the target's whole answer, a refusal of the holder's by
 # which nothing ran, or a lost connection to the target.
-HeldResult = TargetReply | NotRun | Overloaded | LinkLost
+ForwardResult = TargetReply | NotRun | Overloaded | LinkLost
 
 REPLY = 0
 NOT_RUN = 1
@@ -68,7 +68,7 @@
 LOST = 3
 
 
-def encode_statement(statement: HeldStatement) -> bytes:
+def encode_statement(statement: ForwardRequest) -> bytes:
     """Return a statement as it is sent to its holder."""
     shape = statement.shape
     return orjson.dumps(
@@ -81,8 +81,8 @@
             statement.address,
             statement.born,
             statement.values,
-            round(statement.left * 1e6),
-            round(statement.patience * 1e6),
+            round(statement.remaining * 1e6),
+            round(statement.slot_timeout * 1e6),
             statement.urgency,
             statement.writes,
             statement.text,
@@ -93,7 +93,7 @@
     )
 
 
-def decode_statement(head: bytes) -> HeldStatement:
+def decode_statement(head: bytes) -> ForwardRequest:
     """Read what `encode_statement` has made."""
     (
         id,
@@ -113,7 +113,7 @@
         arguments,
         after,
     ) = orjson.loads(head)
-    return HeldStatement(
+    return ForwardRequest(
         id=id,
         caller=caller,
         team=team,
@@ -122,8 +122,8 @@
         address=address,
         born=born,
         values=values,
-        left=left_us / 1e6,
-        patience=patience_us / 1e6,
+        remaining=left_us / 1e6,
+        slot_timeout=patience_us / 1e6,
         urgency=urgency,
         writes=writes,
         text=text,
@@ -133,7 +133,7 @@
     )
 
 
-def encode_result(result: HeldResult) -> bytes:
+def encode_result(result: ForwardResult) -> bytes:
     """Return what became of a statement as it is sent back."""
     match result:
         case TargetReply():
@@ -150,16 +150,16 @@
             fields = (NOT_RUN, reason.value, retry, message)
         case Overloaded(reason=reason, retry_after_ms=retry, message=message):
             fields = (OVERLOADED, reason.value, retry, message)
-        case LinkLost(silent=silent):
+        case LinkLost(unresponsive=silent):
             fields = (LOST, silent)
     return orjson.dumps(fields)
 
 
-def decode_result(head: bytes) -> HeldResult:
+def decode_result(head: bytes) -> ForwardResult:
     """Read what `encode_result` has made."""
     kind, *rest = orjson.loads(head)
     if kind == LOST:
-        return LinkLost(silent=rest[0])
+        return LinkLost(unresponsive=rest[0])
     if kind in (NOT_RUN, OVERLOADED):
         reason, retry, message = rest
         refused = NotRun if kind == NOT_RUN else Overloaded
--- a/bamboospring/sessions/forwarded_statement.py
+++ b/bamboospring/sessions/forwarded_attempt.py
@@ -21,26 +21,26 @@
 from bamboospring.outcomes import Unknown
 from bamboospring.peers import envelope
 from bamboospring.peers import PeerLost
-from bamboospring.sessions.held_messages import decode_result
-from bamboospring.sessions.held_messages import encode_statement
-from bamboospring.sessions.held_messages import HeldStatement
+from bamboospring.sessions.forward_messages import decode_result
+from bamboospring.sessions.forward_messages import encode_statement
+from bamboospring.sessions.forward_messages import ForwardRequest
 from bamboospring.sessions.ports import LinkLost
 from bamboospring.sessions.ports import Refusal
 from bamboospring.sessions.ports import SessionOutcome
 from bamboospring.sessions.ports import TargetReply
-from bamboospring.sessions.refusals import costs_nothing
-from bamboospring.sessions.refusals import may_try_again
-from bamboospring.sessions.refusals import note_refusal
-from bamboospring.sessions.replies import learn_from
+from bamboospring.sessions.refusals import can_retry
+from bamboospring.sessions.refusals import is_free_retry
+from bamboospring.sessions.refusals import record_refusal
+from bamboospring.sessions.replies import record_reply
 from bamboospring.sessions.replies import refused_from
-from bamboospring.sessions.replies import served_from
+from bamboospring.sessions.replies import served_outcome
 from bamboospring.sessions.target_choice import SendTo
 from bamboospring.sessions.zone_holders import ZoneVm
 
 if TYPE_CHECKING:
-    from bamboospring.sessions.run import Run
+    from bamboospring.sessions.statement_execution import StatementExecution
 
-__all__ = ["ForwardedStatement"]
+__all__ = ["ForwardedAttempt"]
 
 # A holder gets so many seconds less than there are, for its word that the time
 # is up: without it nobody could say that the statement has not run.
@@ -55,10 +55,10 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class ForwardedStatement:
+class ForwardedAttempt:
     """One try of a single statement, at the VM that holds its target."""
 
-    run: Run
+    run: StatementExecution
     choice: SendTo
     holder: ZoneVm
     sent: bool = False
@@ -106,20 +106,20 @@
         cancel.number = self.number
         self.run.runner.peers.send(self.holder.address, message)
 
-    def _statement(self) -> HeldStatement:
+    def _statement(self) -> ForwardRequest:
         run = self.run
         job, target = run.job, self.choice.news.target
-        return HeldStatement(
+        return ForwardRequest(
             id=job.id,
-            caller=run.session.queued_as,
+            caller=run.session.queue_key,
             team=run.session.identity.team,
             group=run.group.name,
             target=target.name,
             address=target.address,
             born=target.born,
             values=run.session.values,
-            left=max(0.0, run.left() - ANSWER_RESERVE),
-            patience=run.patience_left(),
+            remaining=max(0.0, run.left() - ANSWER_RESERVE),
+            slot_timeout=run.patience_left(),
             urgency=job.route.urgency,
             writes=job.writes,
             text=job.text,
@@ -140,7 +140,7 @@
         match result:
             case NotRun() | Overloaded():
                 self._not_run(result)
-            case LinkLost(silent=silent):
+            case LinkLost(unresponsive=silent):
                 view.record_failure()
                 reason = Reason.DEADLINE if silent else Reason.ANSWER_LOST
                 again = not silent and not run.job.writes
@@ -190,9 +190,9 @@
     def _replied(self, reply: TargetReply) -> None:
         run = self.run
         now = run.runner.reactor.now()
-        learn_from(run.group, self.target, reply, self.sent_at, now)
+        record_reply(run.group, self.target, reply, self.sent_at, now)
         if reply.refusal is None:
-            outcome: SessionOutcome = served_from(
+            outcome: SessionOutcome = served_outcome(
                 reply, self.target, self.choice.at_replica
             )
             if run.job.writes and not run.group.is_answer_valid(
@@ -202,7 +202,7 @@
             run.served(self, outcome, reply.position)
             return
         refusal = reply.refusal
-        note_refusal(
+        record_refusal(
             run.group, self.target, refusal, now, needed=self.choice.after
         )
         if refusal is Refusal.NOT_PRIMARY:
@@ -210,6 +210,6 @@
         run.failed(
             self,
             refused_from(reply),
-            again=may_try_again(refusal, writes=run.job.writes),
-            free=costs_nothing(refusal, urgent=run.urgent),
+            again=can_retry(refusal, writes=run.job.writes),
+            free=is_free_retry(refusal, urgent=run.urgent),
         )
--- a/bamboospring/sessions/freshness.py
+++ b/bamboospring/sessions/freshness.py
@@ -117,7 +117,7 @@
 
 
 def required_position(
-    samples: SampleLog, *, since: float, written: Position
+    samples: SampleLog, *, since: float, last_commit: Position
 ) -> Position | None:
     """Return the position that a read must see, None if none is known.
 
@@ -131,6 +131,6 @@
     sample = samples.oldest_since(since)
     if sample is None:
         return None
-    if written.term < sample.position.term:
+    if last_commit.term < sample.position.term:
         return sample.position
-    return max(sample.position, written)
+    return max(sample.position, last_commit)
--- a/bamboospring/sessions/holder_server.py
+++ b/bamboospring/sessions/holder_server.py
@@ -17,23 +17,23 @@
 from bamboospring.pool import Leased
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
-from bamboospring.sessions.held_messages import decode_statement
-from bamboospring.sessions.held_messages import encode_result
-from bamboospring.sessions.held_messages import HeldResult
-from bamboospring.sessions.held_messages import HeldStatement
-from bamboospring.sessions.link_setup import link_merit
-from bamboospring.sessions.link_setup import orders_before
+from bamboospring.sessions.forward_messages import decode_statement
+from bamboospring.sessions.forward_messages import encode_result
+from bamboospring.sessions.forward_messages import ForwardRequest
+from bamboospring.sessions.forward_messages import ForwardResult
+from bamboospring.sessions.link_setup import link_fit
+from bamboospring.sessions.link_setup import setup_orders
 from bamboospring.sessions.model import ListedTarget
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.ports import LinkLost
-from bamboospring.sessions.ports import Order
 from bamboospring.sessions.ports import Refusal
 from bamboospring.sessions.ports import RunShape
 from bamboospring.sessions.ports import RunText
 from bamboospring.sessions.ports import SessionLink
+from bamboospring.sessions.ports import TargetOrder
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.replies import CHANGE_RETRY_MS
-from bamboospring.sessions.replies import learn_from
+from bamboospring.sessions.replies import record_reply
 
 __all__ = ["HolderServer"]
 
@@ -68,7 +68,7 @@
         key = (ask.vm, ask.number)
         statement = decode_statement(ask.head)
 
-        def done(result: HeldResult) -> None:
+        def done(result: ForwardResult) -> None:
             self._held.pop(key, None)
             answer = envelope()
             answer.init("heldAnswer").head = encode_result(result)
@@ -85,7 +85,7 @@
         self._held[key] = held
         held.start()
 
-    def _news_of(self, statement: HeldStatement) -> ListedTarget | None:
+    def _news_of(self, statement: ForwardRequest) -> ListedTarget | None:
         """Return the target that was meant; None if it is not to be used."""
         if self.board.draining:
             return None
@@ -109,7 +109,7 @@
 
     def _log_failure(
         self,
-        statement: HeldStatement,
+        statement: ForwardRequest,
         vm: str,
         result: NotRun | Overloaded | LinkLost,
     ) -> None:
@@ -132,9 +132,9 @@
     """One statement on its way to its target."""
 
     server: HolderServer
-    statement: HeldStatement
+    statement: ForwardRequest
     news: ListedTarget
-    on_done: Callable[[HeldResult], None]
+    on_done: Callable[[ForwardResult], None]
     deadline: float = 0.0
     patient_until: float = 0.0
     leased: Leased[SessionLink] | None = None
@@ -143,8 +143,8 @@
 
     def start(self) -> None:
         now = self.server.reactor.now()
-        self.deadline = now + self.statement.left
-        self.patient_until = now + self.statement.patience
+        self.deadline = now + self.statement.remaining
+        self.patient_until = now + self.statement.slot_timeout
         self._acquire()
 
     def _acquire(self) -> None:
@@ -159,7 +159,7 @@
             writes=statement.writes,
             team=statement.team,
             urgency=statement.urgency,
-            merit=lambda link: link_merit(
+            merit=lambda link: link_fit(
                 link, statement.values, statement.shape
             ),
         )
@@ -181,7 +181,7 @@
             self._release(healthy=True)
             return
         statement = self.statement
-        orders = orders_before(
+        orders = setup_orders(
             leased.conn, statement.values, statement.shape, None
         )
         if not orders:
@@ -222,7 +222,7 @@
                 return
             now = self.server.reactor.now()
             group = self.server.board.group(self.statement.group)
-            learn_from(group, self.statement.target, result[0], sent_at, now)
+            record_reply(group, self.statement.target, result[0], sent_at, now)
             self._replied(result[0])
 
         self.leased.conn.send([_order(self.statement)], self._left(), answered)
@@ -261,7 +261,7 @@
         usable = healthy and leased.conn.usable
         self.server.pools.release(leased, healthy=usable)
 
-    def _finish(self, result: HeldResult) -> None:
+    def _finish(self, result: ForwardResult) -> None:
         if not self.over:
             self.over = True
             self.on_done(result)
@@ -270,7 +270,7 @@
         return max(0.0, self.deadline - self.server.reactor.now())
 
 
-def _order(statement: HeldStatement) -> Order:
+def _order(statement: ForwardRequest) -> TargetOrder:
     if statement.shape is not None:
         return RunShape(
             id=statement.id,
--- a/bamboospring/sessions/leader.py
+++ b/bamboospring/sessions/leader.py
@@ -26,14 +26,14 @@
 from bamboospring.sessions.primary_health import replacement_cause
 from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.proofs import TargetReport
-from bamboospring.sessions.questions import NoReport
-from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.quota_holders import QuotaVm
 from bamboospring.sessions.quota_keeper import QuotaKeeper
 from bamboospring.sessions.record_keeper import RecordKeeper
 from bamboospring.sessions.record_settler import Settler
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.takeover_runner import TakeoverRunner
+from bamboospring.sessions.target_control import NoReport
+from bamboospring.sessions.target_control import TargetControl
 from bamboospring.sessions.vm_registry import ListedVm
 from bamboospring.sessions.vm_registry import VmRegistry
 
@@ -66,7 +66,7 @@
         reactor: Reactor,
         board: SessionBoard,
         platform: PlatformClient,
-        questions: TargetQuestions,
+        questions: TargetControl,
         records: RecordKeeper,
         orders: PromotionOrders,
         missing_since: Callable[[str], float | None],
@@ -143,7 +143,7 @@
         self.lease.step()
         if self.lease.leads:
             self._lead()
-            self._quotas.settle()
+            self._quotas.restore()
             self._tidy()
         else:
             self._finisher.tick()
--- a/bamboospring/sessions/link_setup.py
+++ b/bamboospring/sessions/link_setup.py
@@ -9,31 +9,31 @@
 
 from bamboospring.sessions.ports import Assign
 from bamboospring.sessions.ports import BeginWork
-from bamboospring.sessions.ports import Clear
-from bamboospring.sessions.ports import Order
 from bamboospring.sessions.ports import PrepareShape
+from bamboospring.sessions.ports import ResetConnection
 from bamboospring.sessions.ports import SessionLink
 from bamboospring.sessions.ports import Shape
+from bamboospring.sessions.ports import TargetOrder
 
-__all__ = ["link_merit", "orders_before"]
+__all__ = ["link_fit", "setup_orders"]
 
 # A connection with more shapes than this is cleared before it gets another:
 # each costs the target memory for as long as the connection lives.
 MAX_SHAPES = 256
 
 
-def orders_before(
+def setup_orders(
     link: SessionLink,
     values: dict[str, str],
     shape: Shape | None,
     begin: BeginWork | None,
-) -> list[Order]:
+) -> list[TargetOrder]:
     """Return the orders that make a connection fit, in their order."""
-    orders: list[Order] = []
+    orders: list[TargetOrder] = []
     has_values, has_shapes = link.values, link.shapes
     too_many = shape is not None and len(has_shapes) >= MAX_SHAPES
     if not has_values.keys() <= values.keys() or too_many:
-        orders.append(Clear())
+        orders.append(ResetConnection())
         has_values, has_shapes = {}, set()
     orders.extend(
         Assign(name=name, value=value)
@@ -47,7 +47,7 @@
     return orders
 
 
-def link_merit(
+def link_fit(
     link: SessionLink, values: dict[str, str], shape: Shape | None
 ) -> int:
     """Return how little has to be done before a connection fits."""
--- a/bamboospring/sessions/node.py
+++ b/bamboospring/sessions/node.py
@@ -31,17 +31,13 @@
 from bamboospring.sessions.access import identify
 from bamboospring.sessions.catalog_keeper import CATALOG_PURPOSE
 from bamboospring.sessions.catalog_keeper import CatalogKeeper
-from bamboospring.sessions.farewell import Farewell
 from bamboospring.sessions.holder_server import HolderServer
 from bamboospring.sessions.leader import Leader
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.opening import Hold
-from bamboospring.sessions.opening import judge_opening
-from bamboospring.sessions.outside import Outside
+from bamboospring.sessions.platform_adapters import PlatformAdapters
 from bamboospring.sessions.ports import CallerChannel
 from bamboospring.sessions.ports import SessionLink
 from bamboospring.sessions.proof_release import ProofReleases
-from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.quota_client import QuotaClient
 from bamboospring.sessions.quota_counter import QuotaCounter
 from bamboospring.sessions.quota_holders import QuotaVm
@@ -51,9 +47,13 @@
 from bamboospring.sessions.runner import StatementRunner
 from bamboospring.sessions.session import Session
 from bamboospring.sessions.session_metrics import SessionMetrics
+from bamboospring.sessions.session_opening import judge_opening
+from bamboospring.sessions.session_opening import OpeningPending
+from bamboospring.sessions.session_shutdown import SessionShutdown
 from bamboospring.sessions.settings import load
 from bamboospring.sessions.settings import SessionSettings
-from bamboospring.sessions.story import StoryTeller
+from bamboospring.sessions.statement_trace import StatementLogger
+from bamboospring.sessions.target_control import TargetControl
 from bamboospring.sessions.target_keeper import TargetKeeper
 from bamboospring.sessions.team_quota import Tolerance
 from bamboospring.sessions.vm_registry import ListedVm
@@ -98,7 +98,7 @@
     """All that such a process is made of."""
 
     def __init__(
-        self, cfg: SessionSettings, outside: Outside, path: str = ""
+        self, cfg: SessionSettings, outside: PlatformAdapters, path: str = ""
     ) -> None:
         super().__init__()
         self.cfg = cfg
@@ -195,9 +195,7 @@
             decode_catalog=outside.read_catalog,
             on_changed=self.targets.apply_connection_limits,
         )
-        self.questions = TargetQuestions(
-            reactor=self.reactor, pools=self.pools
-        )
+        self.questions = TargetControl(reactor=self.reactor, pools=self.pools)
         self.records = RecordKeeper(
             reactor=self.reactor,
             board=self.board,
@@ -273,7 +271,7 @@
             board=self.board,
             pools=self.pools,
             budget=RetryBudget(percent=cfg.limits.retry_percent),
-            teller=StoryTeller(on_told=self.metrics.told),
+            teller=StatementLogger(on_told=self.metrics.told),
             doubt=self.records.request_read,
             peers=self.peers,
             holders=self.holders,
@@ -298,7 +296,7 @@
                 address=cfg.operators,
                 handler=self._show_metrics,
             )
-        self.farewell = Farewell(
+        self.farewell = SessionShutdown(
             reactor=self.reactor,
             board=self.board,
             callers=self.callers,
@@ -332,7 +330,7 @@
 
     def _admit(
         self, database: str, credential: str, held: float
-    ) -> NotRun | Overloaded | Hold | None:
+    ) -> NotRun | Overloaded | OpeningPending | None:
         now = self.reactor.now()
         return judge_opening(
             self.board,
--- a/bamboospring/sessions/outside.py
+++ b/bamboospring/sessions/platform_adapters.py
@@ -14,16 +14,16 @@
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import ListedTarget
-from bamboospring.sessions.opening import Admit
 from bamboospring.sessions.ports import CallerChannel
 from bamboospring.sessions.ports import PromotionOrders
 from bamboospring.sessions.session import Session
+from bamboospring.sessions.session_opening import OpeningCheck
 from bamboospring.target_link import Dialer
 
-__all__ = ["CallerListener", "MakeSession", "Outside"]
+__all__ = ["CallerListener", "SessionFactory", "PlatformAdapters"]
 
 # Gets the database, the digest of the caller's key and the session's number.
-MakeSession = Callable[[str, str, int, CallerChannel], Session]
+SessionFactory = Callable[[str, str, int, CallerChannel], Session]
 
 
 class CallerListener(Protocol):
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Outside:
+class PlatformAdapters:
     """The adapters to one platform.
 
     The kinds and names are those under which operators and targets write to
@@ -52,4 +52,6 @@
     read_target: Callable[[Found], ListedTarget | None]
     make_dialer: Callable[[Reactor, Target, str], Dialer[Any]]
     make_orders: Callable[[Reactor, str], PromotionOrders]
-    make_listener: Callable[[Reactor, str, Admit, MakeSession], CallerListener]
+    make_listener: Callable[
+        [Reactor, str, OpeningCheck, SessionFactory], CallerListener
+    ]
--- a/bamboospring/sessions/ports.py
+++ b/bamboospring/sessions/ports.py
@@ -22,26 +22,26 @@
 from bamboospring.target_link import TargetLink
 
 __all__ = [
-    "Acknowledged",
+    "AcknowledgedLocally",
     "AskReport",
     "Assign",
     "Begin",
     "BeginWork",
     "CallerChannel",
-    "Clear",
+    "ResetConnection",
     "Commit",
     "CommitWork",
     "Execute",
     "HoldTerm",
     "LinkLost",
-    "Malformed",
-    "Order",
+    "MalformedStatement",
+    "TargetOrder",
     "Prepare",
     "PrepareShape",
     "PromotionOrders",
     "PromotionResult",
     "Refusal",
-    "Release",
+    "Deallocate",
     "ResumeReceiving",
     "Rollback",
     "RollbackWork",
@@ -54,10 +54,10 @@
     "SessionState",
     "SetValue",
     "Shape",
-    "Statement",
+    "SessionStatement",
     "StepDown",
     "TargetReply",
-    "Work",
+    "TextStatement",
 ]
 
 
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Work:
+class TextStatement:
     """Read or write, with the text that reaches the target unchanged."""
 
     writes: bool
@@ -122,29 +122,29 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Release:
+class Deallocate:
     """Forget a prepared name."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Malformed:
+class MalformedStatement:
     """What could not be understood, and why."""
 
     message: str
 
 
-Statement = (
+SessionStatement = (
     Begin
     | Commit
     | Rollback
-    | Work
+    | TextStatement
     | Execute
     | SetValue
     | Prepare
-    | Release
-    | Malformed
+    | Deallocate
+    | MalformedStatement
 )
 
 
@@ -170,11 +170,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Acknowledged:
+class AcknowledgedLocally:
     """The proxy itself did what was asked; no target was needed."""
 
 
-SessionOutcome = Served | Acknowledged | Failed | NotRun | Overloaded | Unknown
+SessionOutcome = (
+    Served | AcknowledgedLocally | Failed | NotRun | Overloaded | Unknown
+)
 
 
 @dataclass(slots=True, kw_only=True)
@@ -192,10 +194,10 @@
     def answer(self, answer: SessionAnswer) -> None:
         """Send the answer to the statement under way."""
 
-    def dismiss(self, refusal: NotRun) -> None:
+    def begin_refusal(self, refusal: NotRun) -> None:
         """Send the beginning of an answer before anything was asked."""
 
-    def conclude(self, state: SessionState) -> None:
+    def finish_refusal(self, state: SessionState) -> None:
         """Send the end of the answer that `dismiss` began."""
 
     def close(self) -> None:
@@ -206,7 +208,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Clear:
+class ResetConnection:
     """Forget all values and prepared names of the connection."""
 
 
@@ -288,8 +290,8 @@
     term: int
 
 
-Order = (
-    Clear
+TargetOrder = (
+    ResetConnection
     | Assign
     | PrepareShape
     | BeginWork
@@ -354,7 +356,7 @@
 class LinkLost:
     """No whole answer came; `silent` if the connection seemed to stand."""
 
-    silent: bool = False
+    unresponsive: bool = False
 
 
 class SessionLink(TargetLink, Protocol):
@@ -369,9 +371,9 @@
 
     def send(
         self,
-        orders: Sequence[Order],
+        orders: Sequence[TargetOrder],
         timeout: float,
-        on_done: Callable[[list[TargetReply] | LinkLost], None],
+        on_complete: Callable[[list[TargetReply] | LinkLost], None],
     ) -> None:
         """Send all orders at once and call back with all the answers.
 
@@ -400,7 +402,7 @@
         holder: str,
         fence: int,
         timeout: float,
-        on_done: Callable[[PromotionResult], None],
+        on_complete: Callable[[PromotionResult], None],
     ) -> None:
         """Order it under the fencing number of the holder's lease.
 
--- a/bamboospring/sessions/quota_client.py
+++ b/bamboospring/sessions/quota_client.py
@@ -25,12 +25,12 @@
 from bamboospring.rendezvous import rank
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.quota_counter import QuotaCounter
-from bamboospring.sessions.quota_holders import holder_of
+from bamboospring.sessions.quota_holders import counting_vm
 from bamboospring.sessions.quota_holders import QuotaVm
 from bamboospring.sessions.quota_holders import zones_of
 from bamboospring.sessions.team_quota import Allowance
 
-__all__ = ["Admitted", "QuotaClient"]
+__all__ = ["Permit", "QuotaClient"]
 
 # A VM that counts answers at once; after this many seconds another is asked.
 ASK_TIMEOUT = 0.08
@@ -48,14 +48,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Admitted:
+class Permit:
     """One operation may run; `counted_by` is None without a limit."""
 
     team: str = ""
     counted_by: QuotaVm | None = None
 
 
-OnAdmitted = Callable[[Admitted | Overloaded], None]
+OnAdmitted = Callable[[Permit | Overloaded], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -101,14 +101,14 @@
         teams = catalog.teams if catalog is not None else None
         limits = (teams or {}).get(team)
         if limits is None or limits.rate is None:
-            on_admitted(Admitted())
+            on_admitted(Permit())
             return
         queue = self._queues.setdefault(team, _TeamQueue())
         now = self._reactor.now()
         queue.waiting.append(_Waiting(since=now, on_admitted=on_admitted))
         self._next(team, queue)
 
-    def give_back(self, admitted: Admitted) -> None:
+    def give_back(self, admitted: Permit) -> None:
         """Return the permission of an operation that surely has not run."""
         holder = admitted.counted_by
         if holder is None:
@@ -139,7 +139,7 @@
         for zone in self._zones(team, own):
             if now < queue.skipped_until.get(zone, -1e9):
                 continue
-            holder = holder_of(holders.vms, team, zone)
+            holder = counting_vm(holders.vms, team, zone)
             if holder is not None:
                 return holder
         return None
@@ -202,7 +202,7 @@
         # All are taken out first: a callback may ask for another operation.
         admitted = [queue.waiting.popleft() for _ in range(allowance.count)]
         for waiting in admitted:
-            waiting.on_admitted(Admitted(team=team, counted_by=holder))
+            waiting.on_admitted(Permit(team=team, counted_by=holder))
 
     def _wait_or_refuse(self, team: str, queue: _TeamQueue) -> None:
         """Refuse what waits if the team is at its limit; else soon."""
--- a/bamboospring/sessions/quota_counter.py
+++ b/bamboospring/sessions/quota_counter.py
@@ -10,7 +10,7 @@
 from bamboospring.peers import Reply
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.quota_holders import counts_for
+from bamboospring.sessions.quota_holders import may_count
 from bamboospring.sessions.quota_holders import parts_of
 from bamboospring.sessions.quota_holders import QuotaHolders
 from bamboospring.sessions.quota_holders import QuotaVm
@@ -71,7 +71,7 @@
         self._quotas.give_back(team, count, self._reactor.now())
 
     def _counts(self, team: str) -> bool:
-        return counts_for(
+        return may_count(
             self._board.quota_holders,
             self._me,
             team,
--- a/bamboospring/sessions/quota_holders.py
+++ b/bamboospring/sessions/quota_holders.py
@@ -28,13 +28,13 @@
 from bamboospring.store_version import VersionedState
 
 __all__ = [
-    "CONFIRMED_FOR",
-    "HANDOVER",
+    "CONFIRMATION_LIFETIME",
+    "HANDOVER_DELAY",
     "QuotaHolders",
     "QuotaVm",
     "choose_vms",
-    "counts_for",
-    "holder_of",
+    "may_count",
+    "counting_vm",
     "next_holders",
     "parts_of",
     "settled_holders",
@@ -45,10 +45,10 @@
 # between VMs; the more, the less is lost with one of them.
 VMS_PER_HOLDER = 4
 # Seconds for which a VM counts after it last confirmed the object.
-CONFIRMED_FOR = 4.0
+CONFIRMATION_LIFETIME = 4.0
 # Seconds between the two steps of a change: longer than a VM counts without
 # confirmation, its last answer's way and the rates of clocks included.
-HANDOVER = 4.8
+HANDOVER_DELAY = 4.8
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -93,8 +93,8 @@
     `confirmed_at` is when this VM last confirmed `known` before the store was
     seen to be back at `returned_at`.
     """
-    recent = returned_at - confirmed_at < HANDOVER
-    if not recent and now < returned_at + HANDOVER:
+    recent = returned_at - confirmed_at < HANDOVER_DELAY
+    if not recent and now < returned_at + HANDOVER_DELAY:
         return None
     return dataclasses.replace(
         known, version=unsettled.version, era=unsettled.era
@@ -117,7 +117,7 @@
     if current is None:
         return QuotaHolders(version=0, era=era, vms=wanted)
     if current.previous is not None:
-        if seen_for < HANDOVER:
+        if seen_for < HANDOVER_DELAY:
             return None
         return dataclasses.replace(current, previous=None)
     if wanted == current.vms or not wanted:
@@ -125,13 +125,15 @@
     return dataclasses.replace(current, vms=wanted, previous=current.vms)
 
 
-def holder_of(vms: Iterable[QuotaVm], team: str, zone: str) -> QuotaVm | None:
+def counting_vm(
+    vms: Iterable[QuotaVm], team: str, zone: str
+) -> QuotaVm | None:
     """Return who counts for a team in a zone; None if no VM there does."""
     in_zone = [vm for vm in vms if vm.availability_zone == zone]
     return next(iter(rank(team, in_zone)), None)
 
 
-def counts_for(
+def may_count(
     holders: QuotaHolders | None,
     me: QuotaVm,
     team: str,
@@ -140,13 +142,13 @@
     now: float,
 ) -> bool:
     """Tell whether a VM may let operations of a team in."""
-    if holders is None or now - confirmed_at > CONFIRMED_FOR:
+    if holders is None or now - confirmed_at > CONFIRMATION_LIFETIME:
         return False
     zone = me.availability_zone
     choices = [holders.vms]
     if holders.previous is not None:
         choices.append(holders.previous)
-    return all(holder_of(vms, team, zone) == me for vms in choices)
+    return all(counting_vm(vms, team, zone) == me for vms in choices)
 
 
 def zones_of(vms: Iterable[QuotaVm]) -> list[str]:
--- a/bamboospring/sessions/quota_keeper.py
+++ b/bamboospring/sessions/quota_keeper.py
@@ -109,7 +109,7 @@
         self._seen_at = reactor.now()
         self._listed: list[QuotaVm] = []
 
-    def settle(self) -> None:
+    def restore(self) -> None:
         """Store the choice anew if the store may have lost it."""
         known, unsettled = (
             self._board.quota_holders,
--- a/bamboospring/sessions/record_keeper.py
+++ b/bamboospring/sessions/record_keeper.py
@@ -31,13 +31,13 @@
 from bamboospring.sessions.proofs import Proof
 from bamboospring.sessions.proofs import PROOF_LIFETIME
 from bamboospring.sessions.proofs import TargetReport
-from bamboospring.sessions.questions import NoReport
-from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.quota_holders import QuotaHolders
 from bamboospring.sessions.quota_keeper import decode_holders
 from bamboospring.sessions.quota_keeper import encode_holders
 from bamboospring.sessions.quota_keeper import HOLDERS_NAME
 from bamboospring.sessions.takeover import TakeoverCause
+from bamboospring.sessions.target_control import NoReport
+from bamboospring.sessions.target_control import TargetControl
 from bamboospring.store_version import era_of
 from bamboospring.store_version import UnsettledState
 from bamboospring.store_version import version_text
@@ -82,7 +82,7 @@
         reactor: Reactor,
         board: SessionBoard,
         platform: PlatformClient,
-        questions: TargetQuestions,
+        questions: TargetControl,
         can_take_proofs: Callable[[float], bool],
         on_primary_failed: Callable[[str, str], None],
     ) -> None:
--- a/bamboospring/sessions/record_settler.py
+++ b/bamboospring/sessions/record_settler.py
@@ -18,11 +18,11 @@
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.proofs import TargetReport
-from bamboospring.sessions.questions import NoReport
-from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.record_keeper import RecordKeeper
 from bamboospring.sessions.settled_record import latest_known
 from bamboospring.sessions.settled_record import settled_record
+from bamboospring.sessions.target_control import NoReport
+from bamboospring.sessions.target_control import TargetControl
 from bamboospring.store_version import UnsettledState
 
 __all__ = ["Settler"]
@@ -48,7 +48,7 @@
         *,
         reactor: Reactor,
         platform: PlatformClient,
-        questions: TargetQuestions,
+        questions: TargetControl,
         records: RecordKeeper,
         releases: ProofReleases,
         leads: Callable[[], bool],
--- a/bamboospring/sessions/refusals.py
+++ b/bamboospring/sessions/refusals.py
@@ -10,7 +10,7 @@
 from bamboospring.sessions.ports import Refusal
 from bamboospring.statements import Position
 
-__all__ = ["behind_pause", "costs_nothing", "may_try_again", "note_refusal"]
+__all__ = ["catch_up_delay", "is_free_retry", "can_retry", "record_refusal"]
 
 # Seconds for which a replica that lacked a position is not asked for more than
 # it has shown: about what replicas usually lag, and the longest time in which
@@ -19,7 +19,7 @@
 LONGEST_BEHIND_PAUSE = 1.0
 
 
-def behind_pause(
+def catch_up_delay(
     samples: SampleLog, shown: Position, needed: Position | None
 ) -> float:
     """Return how long a replica surely lacks what it was asked for.
@@ -37,7 +37,7 @@
     return min(LONGEST_BEHIND_PAUSE, max(SHORTEST_BEHIND_PAUSE, gap))
 
 
-def note_refusal(
+def record_refusal(
     group: SessionGroup,
     target: str,
     refusal: Refusal,
@@ -48,20 +48,20 @@
     """Note what a refusal of a statement that needed a position shows."""
     view = group.observed_target(target)
     if refusal is Refusal.BEHIND:
-        pause = behind_pause(group.samples, view.applied, needed)
+        pause = catch_up_delay(group.samples, view.applied, needed)
         view.behind_until = now + pause
     elif not refusal.promises_nothing_ran:
         view.record_failure()
 
 
-def may_try_again(refusal: Refusal, *, writes: bool) -> bool:
+def can_retry(refusal: Refusal, *, writes: bool) -> bool:
     """Tell whether the statement may be sent once more."""
     if refusal.promises_nothing_ran:
         return True
     return not writes and refusal is not Refusal.OTHER
 
 
-def costs_nothing(refusal: Refusal, *, urgent: bool) -> bool:
+def is_free_retry(refusal: Refusal, *, urgent: bool) -> bool:
     """Tell whether a further try needs no leave of the retry budget.
 
     These refusals cost a target next to nothing. What goes before all else is
--- a/bamboospring/sessions/relay.py
+++ b/bamboospring/sessions/relay.py
@@ -35,10 +35,10 @@
 from bamboospring.sessions.vm_registry import VmRegistry
 from bamboospring.sessions.zone_holders import ZoneHolders
 from bamboospring.sessions.zone_holders import ZoneVm
-from bamboospring.sessions.zone_relays import Asker
 from bamboospring.sessions.zone_relays import AskLeader
 from bamboospring.sessions.zone_relays import AskRelay
 from bamboospring.sessions.zone_relays import Assignment
+from bamboospring.sessions.zone_relays import FactRequester
 from bamboospring.sessions.zone_relays import FactSource
 from bamboospring.sessions.zone_relays import ServeZone
 from bamboospring.sessions.zone_relays import ZoneMembers
@@ -48,9 +48,9 @@
 __all__ = [
     "FactRelay",
     "digest_of",
-    "read_news",
+    "decode_targets",
     "spaced",
-    "write_news",
+    "encode_targets",
 ]
 
 # Seconds between two questions to the leader, and the time for the answer.
@@ -72,7 +72,7 @@
 STANDS = INTERVAL + TIMEOUT + 0.1
 
 
-def write_news(listed: list[ListedTarget]) -> bytes:
+def encode_targets(listed: list[ListedTarget]) -> bytes:
     """Return targets as they are passed on."""
     rows = [
         (
@@ -90,7 +90,7 @@
     return orjson.dumps(rows)
 
 
-def read_news(data: bytes) -> list[ListedTarget]:
+def decode_targets(data: bytes) -> list[ListedTarget]:
     """Read targets that were passed on."""
     return [
         ListedTarget(
@@ -185,7 +185,7 @@
         ask.address = self._registry.local_vm.address
         ask.availabilityZone = self._board.availability_zone
         ask.records = digest_of(self._records.as_bytes())
-        ask.targets = digest_of(write_news(self._targets.listed))
+        ask.targets = digest_of(encode_targets(self._targets.listed))
         ask.wantsCatalog = self._catalog.refresh_failed
         ask.zoneVms = digest_of(_write_vms(self._holders.listed))
 
@@ -239,7 +239,7 @@
         )
         targets_age = facts.targetsAgeMs / 1000
         if targets_age <= OLDEST_TARGETS:
-            listed = read_news(facts.targets) if facts.targets else None
+            listed = decode_targets(facts.targets) if facts.targets else None
             self._targets.apply_relayed(listed, asked_at - targets_age, until)
         catalog_age = facts.catalogAgeMs / 1000
         oldest = OLDEST_CATALOG + (RELAY_INTERVAL if passed_on else 0.0)
@@ -257,7 +257,7 @@
         if data:
             rows = orjson.loads(data)
             listed = tuple(ZoneVm(name=n, address=a) for n, a in rows)
-        self._holders.take_list(listed, now)
+        self._holders.update_members(listed, now)
 
     def _take_assignment(self, facts: Any, now: float) -> None:
         assignment: Assignment = AskLeader()
@@ -367,14 +367,14 @@
         vms = self._zone_members.vms(me, now)
         if vms is None:
             return
-        self._holders.take_list(vms, now)
+        self._holders.update_members(vms, now)
         facts.zoneVmsKnown = True
         data = _write_vms(self._holders.listed)
         if digest_of(data) != ask.zoneVms:
             facts.zoneVms = data
 
     def _assign(self, facts: Any, ask: Any, now: float) -> None:
-        asker = Asker(
+        asker = FactRequester(
             vm=ask.vm,
             address=ask.address,
             availability_zone=ask.availabilityZone,
@@ -397,7 +397,7 @@
         lease = self._duty.last_seen_lease()
         facts.leaseVersion = lease.version
         facts.leaseMs = _ms(lease.duration)
-        news = write_news(self._targets.listed)
+        news = encode_targets(self._targets.listed)
         if digest_of(news) != ask.targets:
             facts.targets = news
         facts.targetsAgeMs = _ms(now - self._board.targets_seen_at)
--- a/bamboospring/sessions/replies.py
+++ b/bamboospring/sessions/replies.py
@@ -12,12 +12,12 @@
 from bamboospring.outcomes import Unknown
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import CommitWork
-from bamboospring.sessions.ports import Order
 from bamboospring.sessions.ports import Refusal
 from bamboospring.sessions.ports import RunShape
 from bamboospring.sessions.ports import RunText
 from bamboospring.sessions.ports import Served
 from bamboospring.sessions.ports import SessionOutcome
+from bamboospring.sessions.ports import TargetOrder
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.session import Job
 from bamboospring.statements import Position
@@ -25,11 +25,11 @@
 __all__ = [
     "BUSY_RETRY_MS",
     "CHANGE_RETRY_MS",
-    "learn_from",
-    "order_of",
+    "record_reply",
+    "order_for_job",
     "refused_from",
-    "served_from",
-    "surely_not_run",
+    "served_outcome",
+    "is_certainly_not_run",
 ]
 
 # What callers are told to wait, in milliseconds: a busy target has worked its
@@ -38,7 +38,7 @@
 CHANGE_RETRY_MS = 1000
 
 
-def order_of(job: Job, after: Position | None) -> Order:
+def order_for_job(job: Job, after: Position | None) -> TargetOrder:
     """Return the order that runs a job; one without any text commits."""
     if job.text is not None:
         return RunText(id=job.id, text=job.text, after=after)
@@ -49,7 +49,7 @@
     return CommitWork(id=job.id)
 
 
-def served_from(
+def served_outcome(
     reply: TargetReply, target: str, at_replica: bool = False
 ) -> Served:
     """Return a target's answer as its caller gets it."""
@@ -86,7 +86,7 @@
             return Failed(reason=Reason.BAD_REQUEST, message=reply.message)
 
 
-def learn_from(
+def record_reply(
     group: SessionGroup,
     target: str,
     reply: TargetReply,
@@ -99,7 +99,7 @@
         group.record_position(target, reply.position, sent_at, now)
 
 
-def surely_not_run(outcome: SessionOutcome) -> bool:
+def is_certainly_not_run(outcome: SessionOutcome) -> bool:
     """Tell whether no target has run anything of what came to this end.
 
     Statements of a transaction that was lost may have run before they were
--- a/bamboospring/sessions/runner.py
+++ b/bamboospring/sessions/runner.py
@@ -23,15 +23,15 @@
 from bamboospring.sessions.ports import SessionState
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.quota_client import QuotaClient
-from bamboospring.sessions.run import Run
 from bamboospring.sessions.session import Job
 from bamboospring.sessions.session import OnOutcome
 from bamboospring.sessions.session import Session
-from bamboospring.sessions.session import Transaction
-from bamboospring.sessions.session import Worker
-from bamboospring.sessions.step import Step
-from bamboospring.sessions.story import StoryTeller
+from bamboospring.sessions.session import SessionTransaction
+from bamboospring.sessions.session import StatementExecutor
+from bamboospring.sessions.statement_execution import StatementExecution
+from bamboospring.sessions.statement_trace import StatementLogger
 from bamboospring.sessions.target_choice import SendTo
+from bamboospring.sessions.transaction_step import TransactionStep
 from bamboospring.sessions.zone_holders import ZoneHolders
 from bamboospring.sessions.zone_holders import ZoneVm
 from bamboospring.statements import Position
@@ -46,7 +46,7 @@
 ROLLBACK_TIMEOUT = 1.0
 
 
-class StatementRunner(Worker):
+class StatementRunner(StatementExecutor):
     """Runs the statements of all sessions of this process."""
 
     def __init__(
@@ -56,7 +56,7 @@
         board: SessionBoard,
         pools: Pools[SessionLink],
         budget: RetryBudget,
-        teller: StoryTeller,
+        teller: StatementLogger,
         doubt: Callable[[str], None],
         peers: Peers,
         holders: ZoneHolders,
@@ -72,39 +72,51 @@
         self.quotas = quotas
         self._holders = holders
         self.running = 0
-        self._waiting: dict[Session, Run] = {}
+        self._waiting: dict[Session, StatementExecution] = {}
 
     def run(
-        self, session: Session, job: Job, tx: Transaction | None, on: OnOutcome
+        self,
+        session: Session,
+        job: Job,
+        tx: SessionTransaction | None,
+        on_complete: OnOutcome,
     ) -> None:
         """Run a statement, in a transaction if there is one."""
-        on = self._counted(on)
+        on_complete = self._counted(on_complete)
         if tx is not None and tx.leased is not None:
-            Step(runner=self, session=session, job=job, tx=tx, on=on).start()
+            TransactionStep(
+                runner=self, session=session, job=job, tx=tx, on=on_complete
+            ).start()
             return
-        run = Run(runner=self, session=session, job=job, tx=tx, on=on)
+        run = StatementExecution(
+            runner=self, session=session, job=job, tx=tx, on=on_complete
+        )
         self._waiting[session] = run
         run.start()
 
     def commit(
         self,
         session: Session,
-        tx: Transaction,
+        tx: SessionTransaction,
         id: str,
         received_at: float,
-        on: OnOutcome,
+        on_complete: OnOutcome,
     ) -> None:
         """Commit; a transaction without a statement begins only now."""
         job = Job(id=id, writes=False, route=tx.route, received_at=received_at)
-        on = self._counted(on)
+        on_complete = self._counted(on_complete)
         if tx.leased is not None:
-            Step(runner=self, session=session, job=job, tx=tx, on=on).start()
+            TransactionStep(
+                runner=self, session=session, job=job, tx=tx, on=on_complete
+            ).start()
             return
-        run = Run(runner=self, session=session, job=job, tx=tx, on=on)
+        run = StatementExecution(
+            runner=self, session=session, job=job, tx=tx, on=on_complete
+        )
         self._waiting[session] = run
         run.start()
 
-    def roll_back(self, tx: Transaction) -> None:
+    def roll_back(self, tx: SessionTransaction) -> None:
         """Roll a transaction back and give its connection up."""
         leased, tx.leased = tx.leased, None
         if leased is not None:
--- a/bamboospring/sessions/session.py
+++ b/bamboospring/sessions/session.py
@@ -24,26 +24,32 @@
 from bamboospring.sessions.access import judge_access
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.ports import Acknowledged
+from bamboospring.sessions.ports import AcknowledgedLocally
 from bamboospring.sessions.ports import Begin
 from bamboospring.sessions.ports import CallerChannel
 from bamboospring.sessions.ports import Commit
+from bamboospring.sessions.ports import Deallocate
 from bamboospring.sessions.ports import Execute
-from bamboospring.sessions.ports import Malformed
+from bamboospring.sessions.ports import MalformedStatement
 from bamboospring.sessions.ports import Prepare
-from bamboospring.sessions.ports import Release
 from bamboospring.sessions.ports import Rollback
 from bamboospring.sessions.ports import Served
 from bamboospring.sessions.ports import SessionAnswer
 from bamboospring.sessions.ports import SessionOutcome
 from bamboospring.sessions.ports import SessionState
+from bamboospring.sessions.ports import SessionStatement
 from bamboospring.sessions.ports import SetValue
 from bamboospring.sessions.ports import Shape
-from bamboospring.sessions.ports import Statement
-from bamboospring.sessions.ports import Work
+from bamboospring.sessions.ports import TextStatement
 from bamboospring.statements import Position
 
-__all__ = ["Job", "MAX_PENDING", "Session", "Transaction", "Worker"]
+__all__ = [
+    "Job",
+    "MAX_PENDING",
+    "Session",
+    "SessionTransaction",
+    "StatementExecutor",
+]
 
 # Statements that a caller may have sent ahead; the connection is not read on
 # beyond them.
@@ -55,7 +61,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Transaction:
+class SessionTransaction:
     """An open transaction; `leased` once it has a connection.
 
     `lost` names why it can't go on, for the next statement's answer.
@@ -66,8 +72,8 @@
     began_at: float
     leased: Leased | None = None
     at_replica: bool = False
-    wrote: bool = False
-    lost: Reason | None = None
+    has_written: bool = False
+    lost_reason: Reason | None = None
 
 
 @dataclass(slots=True, kw_only=True)
@@ -90,11 +96,15 @@
 OnOutcome = Callable[[SessionOutcome, Position | None], None]
 
 
-class Worker:
+class StatementExecutor:
     """What a session needs of whoever carries its statements out."""
 
     def run(
-        self, session: Session, job: Job, tx: Transaction | None, on: OnOutcome
+        self,
+        session: Session,
+        job: Job,
+        tx: SessionTransaction | None,
+        on_complete: OnOutcome,
     ) -> None:
         """Run a statement, in a transaction if there is one."""
         raise NotImplementedError
@@ -102,15 +112,15 @@
     def commit(
         self,
         session: Session,
-        tx: Transaction,
+        tx: SessionTransaction,
         id: str,
         received_at: float,
-        on: OnOutcome,
+        on_complete: OnOutcome,
     ) -> None:
         """Commit a transaction."""
         raise NotImplementedError
 
-    def roll_back(self, tx: Transaction) -> None:
+    def roll_back(self, tx: SessionTransaction) -> None:
         """Roll a transaction back and give its connection up."""
         raise NotImplementedError
 
@@ -122,7 +132,7 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Pending:
     id: str
-    statement: Statement
+    statement: SessionStatement
     received_at: float
 
 
@@ -134,31 +144,31 @@
     database: str
     reactor: Reactor
     board: SessionBoard
-    worker: Worker
+    worker: StatementExecutor
     channel: CallerChannel
     identity: Identity = Identity()
     values: dict[str, str] = field(default_factory=dict)
-    names: dict[str, Shape] = field(default_factory=dict)
+    prepared_shapes: dict[str, Shape] = field(default_factory=dict)
     state: SessionState = SessionState.IDLE
-    written: Position = Position()
+    last_commit: Position = Position()
     busy: bool = False
-    ended: bool = False
-    dismissed: bool = False
-    used_at: float = field(init=False)
-    transaction: Transaction | None = None
+    disconnected: bool = False
+    disconnect_requested: bool = False
+    last_used_at: float = field(init=False)
+    transaction: SessionTransaction | None = None
     _pending: deque[_Pending] = field(default_factory=deque)
     _idle_timer: Timer | None = None
 
     def __post_init__(self) -> None:
-        self.used_at = self.reactor.now()
+        self.last_used_at = self.reactor.now()
 
     @property
-    def is_full(self) -> bool:
+    def is_backlog_full(self) -> bool:
         """Tell whether the caller has sent too much ahead."""
         return len(self._pending) >= MAX_PENDING
 
     @property
-    def queued_as(self) -> str:
+    def queue_key(self) -> str:
         """Return whom queues count this session's statements for.
 
         Teams share a queue evenly, whatever their numbers of callers.
@@ -166,7 +176,7 @@
         return self.identity.team or self.caller
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether nothing is under way and nothing is open."""
         return (
             not self.busy
@@ -174,10 +184,10 @@
             and self.state is SessionState.IDLE
         )
 
-    def submit(self, id: str, statement: Statement) -> None:
+    def submit(self, id: str, statement: SessionStatement) -> None:
         """Take a statement; it is handled after those before it."""
-        if self.dismissed:
-            self.channel.conclude(self.state)
+        if self.disconnect_requested:
+            self.channel.finish_refusal(self.state)
             self.channel.close()
             return
         self._pending.append(
@@ -188,18 +198,18 @@
         if not self.busy:
             self._next()
 
-    def end(self) -> None:
+    def handle_disconnect(self) -> None:
         """Forget everything: the caller has gone."""
-        if self.ended:
+        if self.disconnected:
             return
-        self.ended = True
+        self.disconnected = True
         self._pending.clear()
         self._stop_timer()
         self.worker.withdraw(self)
         if not self.busy:
             self._drop_transaction()
 
-    def leave(self) -> None:
+    def request_disconnect(self) -> None:
         """Have the caller go once nothing is under way and nothing is open.
 
         It is sent a refusal that it did not ask for, and closes. A statement
@@ -207,10 +217,10 @@
         Were the connection closed on it, its caller could not tell whether
         it ran, and a write would not be sent again.
         """
-        if not self.at_rest or self.ended or self.dismissed:
+        if not self.is_idle or self.disconnected or self.disconnect_requested:
             return
-        self.dismissed = True
-        self.channel.dismiss(NotRun(reason=Reason.DRAINING))
+        self.disconnect_requested = True
+        self.channel.begin_refusal(NotRun(reason=Reason.DRAINING))
         self.reactor.call_later(DISMISSAL_WAIT, self.channel.close)
 
     def abandon_transaction(self, reason: Reason) -> None:
@@ -220,15 +230,15 @@
         is sent without being asked for would be taken for that answer.
         """
         tx = self.transaction
-        if tx is None or tx.lost is not None or self.busy:
+        if tx is None or tx.lost_reason is not None or self.busy:
             return
-        tx.lost = reason
+        tx.lost_reason = reason
         self.worker.roll_back(tx)
 
     # One statement after the other.
 
     def _next(self) -> None:
-        while self._pending and not self.busy and not self.ended:
+        while self._pending and not self.busy and not self.disconnected:
             pending = self._pending.popleft()
             self._stop_timer()
             self.busy = True
@@ -240,9 +250,9 @@
                 self._locally(lambda: self.values.__setitem__(name, value))
             case Prepare():
                 self._prepare(pending.statement)
-            case Release(name=name):
+            case Deallocate(name=name):
                 self._release(name)
-            case Malformed(message=message):
+            case MalformedStatement(message=message):
                 self._reject(message)
             case _ if self.state is SessionState.FAILED:
                 self._handle_failed(pending.statement)
@@ -252,7 +262,7 @@
                 self._roll_back()
             case Commit():
                 self._commit(pending)
-            case Work(writes=writes, text=text):
+            case TextStatement(writes=writes, text=text):
                 self._work(pending, writes=writes, text=text)
             case Execute(name=name, arguments=arguments):
                 self._execute(pending, name, arguments)
@@ -262,27 +272,33 @@
             self._reject("the transaction has failed")
             return
         act()
-        self._answer(Acknowledged())
+        self._answer(AcknowledgedLocally())
 
     def _prepare(self, statement: Prepare) -> None:
-        if len(self.names) >= MAX_NAMES and statement.name not in self.names:
+        if (
+            len(self.prepared_shapes) >= MAX_NAMES
+            and statement.name not in self.prepared_shapes
+        ):
             self._reject("too many prepared statements")
             return
         name, shape = statement.name, statement.shape
-        self._locally(lambda: self.names.__setitem__(name, shape))
+        self._locally(lambda: self.prepared_shapes.__setitem__(name, shape))
 
     def _release(self, name: str) -> None:
-        if name not in self.names and self.state is not SessionState.FAILED:
+        if (
+            name not in self.prepared_shapes
+            and self.state is not SessionState.FAILED
+        ):
             self._unknown_name(name)
             return
-        self._locally(lambda: self.names.__delitem__(name))
+        self._locally(lambda: self.prepared_shapes.__delitem__(name))
 
-    def _handle_failed(self, statement: Statement) -> None:
+    def _handle_failed(self, statement: SessionStatement) -> None:
         """Answer in a failed transaction: all that helps is to end it."""
         match statement:
             case Rollback():
                 self._end_transaction()
-                self._answer(Acknowledged())
+                self._answer(AcknowledgedLocally())
             case Commit():
                 self._end_transaction()
                 self._answer(
@@ -306,11 +322,11 @@
         if refusal is not None:
             self._answer(refusal)
             return
-        self.transaction = Transaction(
+        self.transaction = SessionTransaction(
             route=route, read_only=read_only, began_at=received_at
         )
         self.state = SessionState.OPEN
-        self._answer(Acknowledged())
+        self._answer(AcknowledgedLocally())
 
     def _roll_back(self) -> None:
         if self.transaction is None:
@@ -318,15 +334,15 @@
             return
         self._drop_transaction()
         self.state = SessionState.IDLE
-        self._answer(Acknowledged())
+        self._answer(AcknowledgedLocally())
 
     def _commit(self, pending: _Pending) -> None:
         tx = self.transaction
         if tx is None:
             self._reject("no transaction is open")
             return
-        if tx.lost is not None:
-            reason = tx.lost
+        if tx.lost_reason is not None:
+            reason = tx.lost_reason
             self._end_transaction()
             self._answer(NotRun(reason=reason))
             return
@@ -339,8 +355,8 @@
         def done(outcome: SessionOutcome, position: Position | None) -> None:
             self.transaction = None
             self.state = SessionState.IDLE
-            if isinstance(outcome, Served) and tx.wrote and position:
-                self.written = max(self.written, position)
+            if isinstance(outcome, Served) and tx.has_written and position:
+                self.last_commit = max(self.last_commit, position)
             self._answer(outcome, position)
 
         self.worker.commit(self, tx, pending.id, pending.received_at, done)
@@ -349,7 +365,7 @@
         self._run(pending, writes=writes, text=text)
 
     def _execute(self, pending: _Pending, name: str, arguments: str) -> None:
-        shape = self.names.get(name)
+        shape = self.prepared_shapes.get(name)
         if shape is None:
             self._unknown_name(name)
             return
@@ -371,9 +387,9 @@
         if route is None:
             self._answer(self._no_route())
             return
-        if tx is not None and tx.lost is not None:
+        if tx is not None and tx.lost_reason is not None:
             self.state = SessionState.FAILED
-            self._answer(NotRun(reason=tx.lost))
+            self._answer(NotRun(reason=tx.lost_reason))
             return
         refusal = self._access_refusal(route, pending.received_at)
         if refusal is not None:
@@ -397,7 +413,7 @@
             if tx is not None and not served:
                 self.state = SessionState.FAILED
             elif served and writes and tx is None and position:
-                self.written = max(self.written, position)
+                self.last_commit = max(self.last_commit, position)
             self._answer(outcome, position)
 
         self.worker.run(self, job, tx, done)
@@ -430,8 +446,8 @@
         self, outcome: SessionOutcome, position: Position | None = None
     ) -> None:
         self.busy = False
-        self.used_at = self.reactor.now()
-        if self.ended:
+        self.last_used_at = self.reactor.now()
+        if self.disconnected:
             self._drop_transaction()
             return
         self.channel.answer(
--- a/bamboospring/sessions/session_metrics.py
+++ b/bamboospring/sessions/session_metrics.py
@@ -18,9 +18,9 @@
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.ports import Served
 from bamboospring.sessions.ports import SessionOutcome
-from bamboospring.sessions.story import kind_of
-from bamboospring.sessions.story import Story
-from bamboospring.sessions.story import word_of
+from bamboospring.sessions.statement_trace import job_kind
+from bamboospring.sessions.statement_trace import outcome_name
+from bamboospring.sessions.statement_trace import StatementTrace
 from bamboospring.status_view import resident_bytes
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     from bamboospring.pools import Pools
     from bamboospring.sessions.holder_server import HolderServer
     from bamboospring.sessions.leader_lease import LeaderLease
-    from bamboospring.sessions.outside import CallerListener
+    from bamboospring.sessions.platform_adapters import CallerListener
     from bamboospring.sessions.ports import SessionLink
 
 __all__ = ["SessionMetrics", "largest_teams"]
@@ -62,15 +62,15 @@
         self._unready = ""
 
     def told(
-        self, story: Story, outcome: SessionOutcome, seconds: float
+        self, story: StatementTrace, outcome: SessionOutcome, seconds: float
     ) -> None:
         """Count a statement whose outcome is known."""
-        kind = kind_of(story.job)
+        kind = job_kind(story.job)
         self._record(self._durations, kind, seconds)
         if story.sent_at:
             waited = story.sent_at - story.job.received_at
             self._record(self._waits, kind, waited)
-        cause = word_of(outcome)
+        cause = outcome_name(outcome)
         reason = getattr(outcome, "reason", None)
         if reason is not None:
             cause = f"{cause}.{reason.value}"
--- a/bamboospring/sessions/opening.py
+++ b/bamboospring/sessions/session_opening.py
@@ -12,7 +12,7 @@
 from bamboospring.sessions.access import judge_access
 from bamboospring.sessions.model import SessionBoard
 
-__all__ = ["Admit", "Hold", "judge_opening"]
+__all__ = ["OpeningCheck", "OpeningPending", "judge_opening"]
 
 # A process that has just started knows what it needs within 0.2 s. Callers
 # that come before are held so long, in seconds, rather than sent away to find
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Hold:
+class OpeningPending:
     """The session can't be opened yet; ask again after `recheck` seconds."""
 
     recheck: float = RECHECK
@@ -35,7 +35,9 @@
 
 # Gets the database, the digest of the caller's key, and for how many seconds
 # the opening has been held.
-Admit = Callable[[str, str, float], NotRun | Overloaded | Hold | None]
+OpeningCheck = Callable[
+    [str, str, float], NotRun | Overloaded | OpeningPending | None
+]
 
 
 def judge_opening(
@@ -46,7 +48,7 @@
     now: float,
     running: float,
     held: float,
-) -> NotRun | Overloaded | Hold | None:
+) -> NotRun | Overloaded | OpeningPending | None:
     """Return why a session can't be opened now, or None.
 
     `credential` is the digest of the caller's key, `running` is for how many
@@ -62,7 +64,7 @@
     match judge_access(board, route, identity, now):
         case Overloaded() as refusal:
             may_hold = running <= STARTING and held < LONGEST_HOLD
-            return Hold() if may_hold else refusal
+            return OpeningPending() if may_hold else refusal
         case NotRun() as refusal:
             return refusal
     group = board.group(route.group)
@@ -73,7 +75,7 @@
     return None
 
 
-def _wait(held: float) -> Hold | Overloaded:
+def _wait(held: float) -> OpeningPending | Overloaded:
     if held < LONGEST_HOLD:
-        return Hold()
+        return OpeningPending()
     return Overloaded(reason=Reason.STARTING, retry_after_ms=RETRY_MS)
--- a/bamboospring/sessions/farewell.py
+++ b/bamboospring/sessions/session_shutdown.py
@@ -24,14 +24,14 @@
 from bamboospring.outcomes import Reason
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.outside import CallerListener
+from bamboospring.sessions.platform_adapters import CallerListener
 from bamboospring.sessions.session import Session
 
 __all__ = [
-    "Farewell",
-    "choose_leavers",
-    "plan_farewell",
-    "sessions_to_close",
+    "SessionShutdown",
+    "sessions_to_disconnect",
+    "plan_shutdown",
+    "disconnect_count",
 ]
 
 CHECK_INTERVAL = 0.05
@@ -47,7 +47,7 @@
 GONE = 0.88
 
 
-def plan_farewell(begun_at: float, grace: float) -> DrainPlan:
+def plan_shutdown(begun_at: float, grace: float) -> DrainPlan:
     """Return the times of a shutdown that has `grace` seconds."""
     return DrainPlan(
         begun_at=begun_at,
@@ -57,7 +57,7 @@
     )
 
 
-def sessions_to_close(
+def disconnect_count(
     resting: int, elapsed: float, grace: float, interval: float
 ) -> int:
     """Return how many sessions at rest to close now.
@@ -70,7 +70,7 @@
     return -(-resting * interval // left).__int__()
 
 
-def choose_leavers(
+def sessions_to_disconnect(
     sessions: Iterable[Session], *, elapsed: float, grace: float, now: float
 ) -> list[Session]:
     """Return the sessions to tell to go now, those at rest longest first.
@@ -80,15 +80,15 @@
     set their values anew, and be told again: in a zone with one VM left that
     was one in ten operations refused while it stopped.
     """
-    resting = [s for s in sessions if s.at_rest and not s.dismissed]
-    resting.sort(key=lambda session: session.used_at)
-    count = sessions_to_close(len(resting), elapsed, grace, CHECK_INTERVAL)
+    resting = [s for s in sessions if s.is_idle and not s.disconnect_requested]
+    resting.sort(key=lambda session: session.last_used_at)
+    count = disconnect_count(len(resting), elapsed, grace, CHECK_INTERVAL)
     last_call = elapsed >= grace * RESTING_CLOSED
     spared = 0.0 if last_call else AT_WORK
-    return [s for s in resting[:count] if now - s.used_at >= spared]
+    return [s for s in resting[:count] if now - s.last_used_at >= spared]
 
 
-class Farewell(BaseComponent):
+class SessionShutdown(BaseComponent):
     """Ends the process on SIGTERM, at once on a second one."""
 
     channel = "*"
@@ -115,7 +115,7 @@
         """Start the shutdown; does nothing when it is under way."""
         if self._plan is not None:
             return
-        self._plan = plan_farewell(self._reactor.now(), self._grace)
+        self._plan = plan_shutdown(self._reactor.now(), self._grace)
         self._board.draining = True
         logs.log_event("stopping", sessions=len(self._callers.sessions()))
         self._check()
@@ -138,7 +138,7 @@
         self._close_some(elapsed)
         if elapsed >= self._grace * TRANSACTIONS_END:
             self._end_transactions()
-        work = sum(not session.at_rest for session in sessions)
+        work = sum(not session.is_idle for session in sessions)
         phase = judge_phase(
             self._plan,
             now=now,
@@ -151,14 +151,14 @@
         self._reactor.call_later(CHECK_INTERVAL, self._check)
 
     def _close_some(self, elapsed: float) -> None:
-        chosen = choose_leavers(
+        chosen = sessions_to_disconnect(
             self._callers.sessions(),
             elapsed=elapsed,
             grace=self._grace,
             now=self._reactor.now(),
         )
         for session in chosen:
-            session.leave()
+            session.request_disconnect()
 
     def _end_transactions(self) -> None:
         if self._transactions_ended:
@@ -168,7 +168,7 @@
             session.abandon_transaction(Reason.DRAINING)
 
     def _end(self, elapsed: float) -> None:
-        left = [s for s in self._callers.sessions() if not s.at_rest]
+        left = [s for s in self._callers.sessions() if not s.is_idle]
         logs.log_event(
             "stopped",
             level=logs.Level.WARNING if left else logs.Level.INFO,
--- a/bamboospring/sessions/run.py
+++ b/bamboospring/sessions/statement_execution.py
@@ -8,31 +8,31 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.reactor import Timer
-from bamboospring.sessions.attempt import Attempt
-from bamboospring.sessions.forwarded_statement import ForwardedStatement
+from bamboospring.sessions.change_wait import change_wait
+from bamboospring.sessions.direct_attempt import DirectAttempt
+from bamboospring.sessions.forwarded_attempt import ForwardedAttempt
 from bamboospring.sessions.model import ObservedTarget
 from bamboospring.sessions.model import SessionGroup
-from bamboospring.sessions.patience import change_patience
 from bamboospring.sessions.ports import SessionOutcome
-from bamboospring.sessions.quota_client import Admitted
+from bamboospring.sessions.quota_client import Permit
 from bamboospring.sessions.replies import CHANGE_RETRY_MS
-from bamboospring.sessions.replies import surely_not_run
+from bamboospring.sessions.replies import is_certainly_not_run
 from bamboospring.sessions.session import Job
 from bamboospring.sessions.session import OnOutcome
 from bamboospring.sessions.session import Session
-from bamboospring.sessions.session import Transaction
-from bamboospring.sessions.story import Story
-from bamboospring.sessions.target_choice import Choice
-from bamboospring.sessions.target_choice import choose
-from bamboospring.sessions.target_choice import Needs
+from bamboospring.sessions.session import SessionTransaction
+from bamboospring.sessions.statement_trace import StatementTrace
+from bamboospring.sessions.target_choice import choose_target
 from bamboospring.sessions.target_choice import NoTarget
 from bamboospring.sessions.target_choice import SendTo
+from bamboospring.sessions.target_choice import TargetChoice
+from bamboospring.sessions.target_choice import TargetRequirements
 from bamboospring.statements import Position
 
 if TYPE_CHECKING:
     from bamboospring.sessions.runner import StatementRunner
 
-__all__ = ["Run"]
+__all__ = ["StatementExecution"]
 
 # Tries of one statement, the first one included.
 MAX_TRIES = 4
@@ -54,7 +54,7 @@
 SHORTEST_HEDGE = 0.08
 
 
-class Run:
+class StatementExecution:
     """A statement that needs a connection first: alone, or a transaction's.
 
     Of a transaction it is the first one; the transaction is opened with it,
@@ -68,7 +68,7 @@
         runner: StatementRunner,
         session: Session,
         job: Job,
-        tx: Transaction | None,
+        tx: SessionTransaction | None,
         on: OnOutcome,
     ) -> None:
         self.runner = runner
@@ -77,20 +77,20 @@
         self.tx = tx
         self.commits = job.text is None and job.shape is None
         self.group: SessionGroup = runner.board.group(job.route.group)
-        self.story = Story(
+        self.story = StatementTrace(
             session=session, job=job, transaction=tx is not None
         )
         self._on: OnOutcome | None = on
         self._excluded: set[str] = set()
         self._tries = 0
-        self._live: set[Attempt | ForwardedStatement] = set()
+        self._live: set[DirectAttempt | ForwardedAttempt] = set()
         self._caller_gone = False
         self._directly = False
         self._refusal: SessionOutcome | None = None
         self._no_target = ""
         self._timer: Timer | None = None
         self._hedge: Timer | None = None
-        self._admitted: Admitted | None = None
+        self._admitted: Permit | None = None
         self.deadline = job.received_at + job.route.time_limit
         self.urgent = runner.board.is_urgent(job.route)
         part = URGENT_PATIENCE_PART if self.urgent else PATIENCE_PART
@@ -107,7 +107,7 @@
         team = self.session.identity.team
         self.runner.quotas.admit(team, self._take_admission)
 
-    def _take_admission(self, result: Admitted | Overloaded) -> None:
+    def _take_admission(self, result: Permit | Overloaded) -> None:
         if isinstance(result, Overloaded):
             self._finish(result, None)
             return
@@ -123,7 +123,7 @@
         self._caller_gone = True
         if any(each.sent for each in self._live):
             for each in self._live:
-                if isinstance(each, ForwardedStatement):
+                if isinstance(each, ForwardedAttempt):
                     each.withdraw()
             return
         self.story.waited_for = self._waits_for()
@@ -153,8 +153,8 @@
                 self._no_target = reason.value
                 self._wait_or_refuse(reason, now)
 
-    def _choose(self, now: float) -> Choice:
-        return choose(
+    def _choose(self, now: float) -> TargetChoice:
+        return choose_target(
             self.group,
             self.job.route,
             self._needs(),
@@ -164,7 +164,7 @@
 
     def _attempt(
         self, choice: SendTo, now: float
-    ) -> Attempt | ForwardedStatement:
+    ) -> DirectAttempt | ForwardedAttempt:
         """Return a try by the target's holder, or by a connection of ours.
 
         Transactions keep to connections of this VM. A single write may be
@@ -175,16 +175,16 @@
         if self.tx is None and not self._directly:
             holder = self.runner.holder_of(self.group.name, choice, now)
         if holder is None:
-            return Attempt(run=self, choice=choice)
-        return ForwardedStatement(run=self, choice=choice, holder=holder)
+            return DirectAttempt(run=self, choice=choice)
+        return ForwardedAttempt(run=self, choice=choice, holder=holder)
 
-    def _needs(self) -> Needs:
+    def _needs(self) -> TargetRequirements:
         tx = self.tx
         at_primary = self.job.writes if tx is None else not tx.read_only
-        return Needs(
+        return TargetRequirements(
             received_at=self.job.received_at,
             at_primary=at_primary,
-            written=self.session.written,
+            last_commit=self.session.last_commit,
             excluded=self._excluded,
         )
 
@@ -220,7 +220,7 @@
         )
         if reason is not Reason.NO_PRIMARY or expected is None:
             return self._patient_until, CHANGE_RETRY_MS / 1000
-        return change_patience(
+        return change_wait(
             expected,
             now=now,
             deadline=self.deadline,
@@ -247,15 +247,13 @@
         excluded = set(self._excluded)
         self._excluded.update(each.target for each in self._live)
         if isinstance(self._choose(self.runner.reactor.now()), NoTarget):
-            if any(
-                isinstance(each, ForwardedStatement) for each in self._live
-            ):
+            if any(isinstance(each, ForwardedAttempt) for each in self._live):
                 self._excluded = excluded
         self.next_try()
 
     def served(
         self,
-        attempt: Attempt | ForwardedStatement,
+        attempt: DirectAttempt | ForwardedAttempt,
         outcome: SessionOutcome,
         position: Position | None,
     ) -> None:
@@ -265,7 +263,7 @@
 
     def failed(
         self,
-        attempt: Attempt | ForwardedStatement,
+        attempt: DirectAttempt | ForwardedAttempt,
         outcome: SessionOutcome,
         *,
         again: bool,
@@ -319,11 +317,11 @@
             each.withdraw()
         self._return_admission(outcome)
         self.runner.settled(self.session)
-        self.runner.teller.tell(self.story, outcome)
+        self.runner.teller.log_outcome(self.story, outcome)
         on(outcome, position)
 
     def _return_admission(self, outcome: SessionOutcome) -> None:
         """Let another operation of the team run for one that has not."""
         admitted, self._admitted = self._admitted, None
-        if admitted is not None and surely_not_run(outcome):
+        if admitted is not None and is_certainly_not_run(outcome):
             self.runner.quotas.give_back(admitted)
--- a/bamboospring/sessions/story.py
+++ b/bamboospring/sessions/statement_trace.py
@@ -16,18 +16,18 @@
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Unknown
-from bamboospring.sessions.ports import Acknowledged
+from bamboospring.sessions.ports import AcknowledgedLocally
 from bamboospring.sessions.ports import Served
 from bamboospring.sessions.ports import SessionOutcome
 from bamboospring.sessions.session import Job
 from bamboospring.sessions.session import Session
 from bamboospring.statements import Position
 
-__all__ = ["Story", "StoryTeller", "kind_of", "word_of"]
+__all__ = ["StatementTrace", "StatementLogger", "job_kind", "outcome_name"]
 
 
 @dataclass(slots=True, kw_only=True)
-class Story:
+class StatementTrace:
     """One statement's way: where it was sent, on what knowledge.
 
     `waited_for` is what it still waited for when its caller left, `through`
@@ -62,21 +62,23 @@
             self.sent_at = self.session.reactor.now()
 
 
-OnTold = Callable[[Story, SessionOutcome, float], None]
+OnTold = Callable[[StatementTrace, SessionOutcome, float], None]
 
 
-class StoryTeller:
+class StatementLogger:
     """Writes the story of statements and hands it on to be counted."""
 
     def __init__(self, *, on_told: OnTold) -> None:
         self._on_told = on_told
 
-    def tell(self, story: Story, outcome: SessionOutcome) -> None:
+    def log_outcome(
+        self, story: StatementTrace, outcome: SessionOutcome
+    ) -> None:
         """Log a statement whose outcome is known."""
         now = story.session.reactor.now()
         took = now - story.job.received_at
         self._on_told(story, outcome, took)
-        bad = not isinstance(outcome, (Served, Acknowledged))
+        bad = not isinstance(outcome, (Served, AcknowledgedLocally))
         level = logs.Level.WARNING if bad else logs.Level.INFO
         if not logs.wanted("answered", level):
             return
@@ -90,9 +92,9 @@
             team=story.session.identity.team,
             group=job.route.group,
             route=job.route.name,
-            kind=kind_of(job),
+            kind=job_kind(job),
             transaction=story.transaction,
-            outcome=word_of(outcome),
+            outcome=outcome_name(outcome),
             reason=getattr(outcome, "reason", ""),
             targets=",".join(story.targets),
             through=story.through,
@@ -107,7 +109,7 @@
 
 _WORDS: dict[type, str] = {
     Served: "served",
-    Acknowledged: "acknowledged",
+    AcknowledgedLocally: "acknowledged",
     Failed: "failed",
     NotRun: "not_run",
     Overloaded: "overloaded",
@@ -115,12 +117,12 @@
 }
 
 
-def word_of(outcome: SessionOutcome) -> str:
+def outcome_name(outcome: SessionOutcome) -> str:
     """Return the word for an outcome in logs and metrics."""
     return _WORDS[type(outcome)]
 
 
-def kind_of(job: Job) -> str:
+def job_kind(job: Job) -> str:
     """Return what a job is: read, write or commit."""
     if job.text is None and job.shape is None:
         return "commit"
--- a/bamboospring/sessions/takeover_runner.py
+++ b/bamboospring/sessions/takeover_runner.py
@@ -28,9 +28,6 @@
 from bamboospring.sessions.ports import StepDown
 from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.proofs import TargetReport
-from bamboospring.sessions.questions import NoReport
-from bamboospring.sessions.questions import Question
-from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.record_keeper import RecordKeeper
 from bamboospring.sessions.takeover import Action
 from bamboospring.sessions.takeover import OrderPromotion
@@ -40,6 +37,9 @@
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.takeover import TakeoverPhase
 from bamboospring.sessions.takeover import TellTarget
+from bamboospring.sessions.target_control import ControlOrder
+from bamboospring.sessions.target_control import NoReport
+from bamboospring.sessions.target_control import TargetControl
 from bamboospring.store_version import version_text
 
 __all__ = ["TakeoverRunner", "TELL_TIMEOUT"]
@@ -65,7 +65,7 @@
         reactor: Reactor,
         board: SessionBoard,
         platform: PlatformClient,
-        questions: TargetQuestions,
+        questions: TargetControl,
         records: RecordKeeper,
         releases: ProofReleases,
         orders: PromotionOrders,
@@ -171,7 +171,7 @@
         group: SessionGroup,
         change: Takeover,
         target: str,
-        order: Question,
+        order: ControlOrder,
     ) -> None:
         def heard(result: TargetReport | NoReport) -> None:
             if isinstance(result, NoReport) and not result.refused:
@@ -288,7 +288,7 @@
             holder=self._board.vm,
             fence=self._duty.fence,
             timeout=PROMOTE_TIMEOUT,
-            on_done=on_done,
+            on_complete=on_done,
         )
 
     def _ended(self, group: SessionGroup, change: Takeover) -> None:
@@ -347,7 +347,7 @@
         self._questions.ask(group, name, AskReport(), TELL_TIMEOUT, heard)
 
     def _tell_once(
-        self, group: SessionGroup, name: str, order: Question
+        self, group: SessionGroup, name: str, order: ControlOrder
     ) -> None:
         def heard(result: TargetReport | NoReport) -> None:
             logs.log_event(
--- a/bamboospring/sessions/target_choice.py
+++ b/bamboospring/sessions/target_choice.py
@@ -21,7 +21,14 @@
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.statements import Position
 
-__all__ = ["Choice", "Needs", "NoTarget", "SendTo", "choose", "expected_time"]
+__all__ = [
+    "TargetChoice",
+    "TargetRequirements",
+    "NoTarget",
+    "SendTo",
+    "choose_target",
+    "expected_response_time",
+]
 
 # What another zone costs, in seconds that an answer may take longer in the own
 # zone: the way there and back, and the bytes that zones are charged for.
@@ -36,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Needs:
+class TargetRequirements:
     """What one statement asks of a target.
 
     `received_at` is when its first bytes were read, `written` the session's
@@ -45,7 +52,7 @@
 
     received_at: float
     at_primary: bool
-    written: Position = Position()
+    last_commit: Position = Position()
     excluded: Collection[str] = frozenset()
 
 
@@ -65,12 +72,17 @@
     reason: Reason
 
 
-Choice = SendTo | NoTarget
+TargetChoice = SendTo | NoTarget
 
 
-def choose(
-    group: SessionGroup, route: Route, needs: Needs, *, zone: str, now: float
-) -> Choice:
+def choose_target(
+    group: SessionGroup,
+    route: Route,
+    needs: TargetRequirements,
+    *,
+    zone: str,
+    now: float,
+) -> TargetChoice:
     """Choose the target of one statement."""
     if needs.at_primary or route.freshness is Freshness.PRIMARY:
         return _primary(group, needs, now)
@@ -78,7 +90,7 @@
     if route.max_age is not None:
         since = needs.received_at - route.max_age + AGE_MARGIN
         after = required_position(
-            group.samples, since=since, written=needs.written
+            group.samples, since=since, last_commit=needs.last_commit
         )
     if after is None:
         return _primary(group, needs, now)
@@ -97,12 +109,14 @@
     )
 
 
-def expected_time(view: ObservedTarget) -> float:
+def expected_response_time(view: ObservedTarget) -> float:
     """Return the seconds in which a target should answer one more."""
     return (view.in_flight + 1) * view.latency * (1 + view.failure_score)
 
 
-def _primary(group: SessionGroup, needs: Needs, now: float) -> Choice:
+def _primary(
+    group: SessionGroup, needs: TargetRequirements, now: float
+) -> TargetChoice:
     news = group.primary()
     if news is None:
         return NoTarget(reason=Reason.NO_PRIMARY)
@@ -116,8 +130,8 @@
 
 
 def _without_replica(
-    group: SessionGroup, needs: Needs, after: Position, now: float
-) -> Choice:
+    group: SessionGroup, needs: TargetRequirements, after: Position, now: float
+) -> TargetChoice:
     """Return the primary for a read that no target should have tried.
 
     With a position to ask for it needs no proof: whoever has the position
@@ -135,7 +149,7 @@
 def _may_read(
     group: SessionGroup,
     news: ListedTarget,
-    needs: Needs,
+    needs: TargetRequirements,
     after: Position,
     now: float,
 ) -> bool:
@@ -147,7 +161,7 @@
 
 
 def _read_cost(group: SessionGroup, news: ListedTarget, zone: str) -> float:
-    cost = expected_time(group.observed_target(news.target.name))
+    cost = expected_response_time(group.observed_target(news.target.name))
     if news.target.availability_zone != zone:
         cost += OTHER_ZONE
     if _is_primary(group, news):
--- a/bamboospring/sessions/questions.py
+++ b/bamboospring/sessions/target_control.py
@@ -22,9 +22,9 @@
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.proofs import TargetReport
 
-__all__ = ["NoReport", "Question", "TargetQuestions"]
+__all__ = ["NoReport", "ControlOrder", "TargetControl"]
 
-Question = AskReport | HoldTerm | ResumeReceiving | StepDown
+ControlOrder = AskReport | HoldTerm | ResumeReceiving | StepDown
 
 # Control goes before all statements.
 URGENCY = -1
@@ -46,7 +46,7 @@
 OnReport = Callable[[TargetReport | NoReport], None]
 
 
-class TargetQuestions:
+class TargetControl:
     """Questions to targets over the connections of the pools."""
 
     def __init__(self, *, reactor: Reactor, pools: Pools[SessionLink]) -> None:
@@ -72,7 +72,7 @@
         self,
         group: SessionGroup,
         name: str,
-        question: Question,
+        question: ControlOrder,
         timeout: float,
         on_report: OnReport,
     ) -> None:
--- a/bamboospring/sessions/target_keeper.py
+++ b/bamboospring/sessions/target_keeper.py
@@ -17,7 +17,7 @@
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import SessionLink
-from bamboospring.sessions.zone_holders import FEWEST_CONNECTIONS
+from bamboospring.sessions.zone_holders import MIN_CONNECTIONS
 from bamboospring.sessions.zone_holders import ZoneHolders
 from bamboospring.shares import Units
 
@@ -233,7 +233,7 @@
         if limits is None:
             return
         fair = limits.max_connections / self._board.vm_count
-        bound = max(FEWEST_CONNECTIONS, int(fair * SHARE_TIMES))
+        bound = max(MIN_CONNECTIONS, int(fair * SHARE_TIMES))
         connections = bound
         idle, kept = idle_time(fair), max(1, int(fair * KEPT_PART))
         if self._holders.holds(news.target.name, self._reactor.now()):
--- a/bamboospring/sessions/step.py
+++ b/bamboospring/sessions/transaction_step.py
@@ -9,35 +9,35 @@
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
 from bamboospring.pool import Leased
-from bamboospring.sessions.link_setup import orders_before
+from bamboospring.sessions.link_setup import setup_orders
 from bamboospring.sessions.ports import LinkLost
 from bamboospring.sessions.ports import Refusal
 from bamboospring.sessions.ports import SessionLink
 from bamboospring.sessions.ports import SessionOutcome
 from bamboospring.sessions.ports import SessionState
 from bamboospring.sessions.ports import TargetReply
-from bamboospring.sessions.replies import learn_from
-from bamboospring.sessions.replies import order_of
+from bamboospring.sessions.replies import order_for_job
+from bamboospring.sessions.replies import record_reply
 from bamboospring.sessions.replies import refused_from
-from bamboospring.sessions.replies import served_from
+from bamboospring.sessions.replies import served_outcome
 from bamboospring.sessions.session import Job
 from bamboospring.sessions.session import OnOutcome
 from bamboospring.sessions.session import Session
-from bamboospring.sessions.session import Transaction
-from bamboospring.sessions.story import Story
+from bamboospring.sessions.session import SessionTransaction
+from bamboospring.sessions.statement_trace import StatementTrace
 from bamboospring.statements import Position
 
 if TYPE_CHECKING:
     from bamboospring.sessions.runner import StatementRunner
 
-__all__ = ["Step"]
+__all__ = ["TransactionStep"]
 
 # A statement of a transaction that a target had no slot for is offered again
 # after so many seconds; all that the transaction has done is lost without it.
 BUSY_PAUSE = 0.012
 
 
-class Step:
+class TransactionStep:
     """A later statement of a transaction, or its commit.
 
     It runs on the transaction's own connection and nowhere else.
@@ -49,7 +49,7 @@
         runner: StatementRunner,
         session: Session,
         job: Job,
-        tx: Transaction,
+        tx: SessionTransaction,
         on: OnOutcome,
     ) -> None:
         assert tx.leased is not None
@@ -60,7 +60,9 @@
         self._on = on
         self._leased: Leased[SessionLink] = tx.leased
         self._commits = job.text is None and job.shape is None
-        self._story = Story(session=session, job=job, transaction=True)
+        self._story = StatementTrace(
+            session=session, job=job, transaction=True
+        )
         self._sent_at = 0.0
 
     def start(self) -> None:
@@ -68,7 +70,7 @@
         self._runner.pools.resume(
             self._leased,
             self._deadline(),
-            self._session.queued_as,
+            self._session.queue_key,
             self._ready,
         )
 
@@ -89,7 +91,7 @@
         if not link.usable:
             self._lost(LinkLost())
             return
-        orders = orders_before(
+        orders = setup_orders(
             link, self._session.values, self._job.shape, None
         )
         if self._commits or not orders:
@@ -118,7 +120,7 @@
         self._story.sent(target, after=None, proof_age=None)
         if self._job.writes:
             # Also if its answer is lost: it may have written.
-            self._tx.wrote = True
+            self._tx.has_written = True
 
         def answered(result: list[TargetReply] | LinkLost) -> None:
             view.in_flight -= 1
@@ -129,7 +131,7 @@
                 self._answered(result[0])
 
         self._leased.conn.send(
-            [order_of(self._job, None)], max(0.0, self._left()), answered
+            [order_for_job(self._job, None)], max(0.0, self._left()), answered
         )
 
     def _lost(self, lost: LinkLost) -> None:
@@ -140,8 +142,10 @@
         """
         sent = self._sent_at > 0
         self._drop()
-        if self._commits and sent and self._tx.wrote:
-            reason = Reason.DEADLINE if lost.silent else Reason.ANSWER_LOST
+        if self._commits and sent and self._tx.has_written:
+            reason = (
+                Reason.DEADLINE if lost.unresponsive else Reason.ANSWER_LOST
+            )
             self._finish(Unknown(reason=reason), None)
             return
         self._finish(NotRun(reason=Reason.TRANSACTION_LOST), None)
@@ -151,7 +155,7 @@
         now = runner.reactor.now()
         target = self._leased.target.name
         group = runner.board.group(tx.route.group)
-        learn_from(group, target, reply, self._sent_at, now)
+        record_reply(group, target, reply, self._sent_at, now)
         if self._may_ask_again(reply):
             runner.reactor.call_later(BUSY_PAUSE, self._send_again)
             return
@@ -162,10 +166,10 @@
                 self._drop()
             self._finish(refused_from(reply), reply.position)
             return
-        outcome: SessionOutcome = served_from(reply, target, tx.at_replica)
+        outcome: SessionOutcome = served_outcome(reply, target, tx.at_replica)
         if self._commits:
             self._drop()
-            if tx.wrote and not group.is_answer_valid(target, now):
+            if tx.has_written and not group.is_answer_valid(target, now):
                 # Another primary may have been promoted before this commit
                 # took effect at the old one; then it is lost.
                 outcome = Unknown(reason=Reason.PRIMARY_CHANGED)
@@ -182,11 +186,11 @@
             reply.refusal is Refusal.BUSY
             and reply.state is SessionState.OPEN
             and self._left() > BUSY_PAUSE
-            and not self._session.ended
+            and not self._session.disconnected
         )
 
     def _send_again(self) -> None:
-        if self._session.ended or not self._leased.conn.usable:
+        if self._session.disconnected or not self._leased.conn.usable:
             self._lost(LinkLost())
             return
         self._send()
@@ -197,5 +201,5 @@
     def _finish(
         self, outcome: SessionOutcome, position: Position | None
     ) -> None:
-        self._runner.teller.tell(self._story, outcome)
+        self._runner.teller.log_outcome(self._story, outcome)
         self._on(outcome, position)
--- a/bamboospring/sessions/zone_holders.py
+++ b/bamboospring/sessions/zone_holders.py
@@ -20,10 +20,10 @@
 
 from bamboospring.rendezvous import rank
 
-__all__ = ["FEWEST_CONNECTIONS", "ZoneHolders", "ZoneVm"]
+__all__ = ["MIN_CONNECTIONS", "ZoneHolders", "ZoneVm"]
 
 # A VM may open so many connections to a target at least.
-FEWEST_CONNECTIONS = 2
+MIN_CONNECTIONS = 2
 # With a fair part of so many each VM keeps a connection of its own. Reads that
 # then queued at holders would wait there while the others' were at rest.
 OWN_CONNECTIONS = 1.0
@@ -56,7 +56,7 @@
     _ranked: dict[str, list[ZoneVm]] = field(default_factory=dict)
     _passed_over: dict[tuple[str, str], float] = field(default_factory=dict)
 
-    def take_list(self, vms: Iterable[ZoneVm], now: float) -> None:
+    def update_members(self, vms: Iterable[ZoneVm], now: float) -> None:
         """Take the VMs of this zone that were heard lately."""
         listed = tuple(sorted(vms, key=lambda vm: vm.name))
         self._listed_at = now
--- a/bamboospring/sessions/zone_relays.py
+++ b/bamboospring/sessions/zone_relays.py
@@ -21,7 +21,7 @@
 __all__ = [
     "AskLeader",
     "AskRelay",
-    "Asker",
+    "FactRequester",
     "Assignment",
     "FactSource",
     "ServeZone",
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Asker:
+class FactRequester:
     """A VM that asks the leader, by its own word."""
 
     vm: str
@@ -73,7 +73,7 @@
     """The VMs of a zone that have asked lately, and the relay among them."""
 
     heard_at: dict[str, float] = field(default_factory=dict)
-    relay: Asker | None = None
+    relay: FactRequester | None = None
 
     def relay_is_lost(self, now: float) -> bool:
         if self.relay is None:
@@ -95,7 +95,7 @@
 
     _zones: dict[str, _Zone] = field(default_factory=dict)
 
-    def assign(self, asker: Asker, now: float) -> Assignment:
+    def assign(self, asker: FactRequester, now: float) -> Assignment:
         """Return whom this VM is to ask from now on.
 
         A relay stays as long as it is heard. Another one is named once enough
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -36,14 +36,14 @@
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.node import LINK_TIMING
-from bamboospring.sessions.opening import judge_opening
-from bamboospring.sessions.ports import Acknowledged
+from bamboospring.sessions.ports import AcknowledgedLocally
 from bamboospring.sessions.ports import Begin
 from bamboospring.sessions.ports import SessionState
-from bamboospring.sessions.ports import Work
+from bamboospring.sessions.ports import TextStatement
 from bamboospring.sessions.readiness import unreadiness
 from bamboospring.sessions.session import Session
 from bamboospring.sessions.session_metrics import largest_teams
+from bamboospring.sessions.session_opening import judge_opening
 from bamboospring.shares import Units
 from bamboospring.store_version import version_of
 from bamboospring.target_link import Opened
@@ -193,7 +193,7 @@
         worker=context.worker,
         channel=context.channel,
     )
-    context.session.submit("1", Work(writes=False, text="READ a"))
+    context.session.submit("1", TextStatement(writes=False, text="READ a"))
     assert len(context.worker.asked) == 1
 
 
@@ -205,8 +205,8 @@
 @when("it has begun a transaction and its key is taken away")
 def when_taken(context: Any) -> None:
     context.session.submit("2", Begin(read_only=False))
-    assert isinstance(context.channel.answers[-1].outcome, Acknowledged)
-    context.session.submit("3", Work(writes=True, text="WRITE a 1"))
+    assert isinstance(context.channel.answers[-1].outcome, AcknowledgedLocally)
+    context.session.submit("3", TextStatement(writes=True, text="WRITE a 1"))
     context.board.catalog = catalog_of(bank=[], shop=[SHOP])
 
 
@@ -218,7 +218,7 @@
 @then("its next statement is refused as {reason}")
 def then_refused(context: Any, reason: str) -> None:
     before = len(context.worker.asked)
-    context.session.submit("9", Work(writes=False, text="READ b"))
+    context.session.submit("9", TextStatement(writes=False, text="READ b"))
     outcome = context.channel.answers[-1].outcome
     assert outcome.reason.value == reason, outcome
     assert len(context.worker.asked) == before
--- a/features/steps/session_decisions_steps.py
+++ b/features/steps/session_decisions_steps.py
@@ -18,11 +18,10 @@
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
-from bamboospring.sessions.farewell import choose_leavers
-from bamboospring.sessions.farewell import sessions_to_close
+from bamboospring.sessions.change_wait import change_wait
 from bamboospring.sessions.freshness import SampleLog
-from bamboospring.sessions.link_setup import link_merit
-from bamboospring.sessions.link_setup import orders_before
+from bamboospring.sessions.link_setup import link_fit
+from bamboospring.sessions.link_setup import setup_orders
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import Freshness
 from bamboospring.sessions.model import ListedTarget
@@ -31,25 +30,26 @@
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.model import SessionGroup
-from bamboospring.sessions.opening import Hold
-from bamboospring.sessions.opening import judge_opening
 from bamboospring.sessions.overdue_change import finished_record
 from bamboospring.sessions.overdue_change import is_overdue
 from bamboospring.sessions.overdue_change import takes_part
-from bamboospring.sessions.patience import change_patience
-from bamboospring.sessions.ports import Clear
 from bamboospring.sessions.ports import Refusal
+from bamboospring.sessions.ports import ResetConnection
 from bamboospring.sessions.proofs import TargetReport
-from bamboospring.sessions.refusals import behind_pause
-from bamboospring.sessions.refusals import note_refusal
+from bamboospring.sessions.refusals import catch_up_delay
+from bamboospring.sessions.refusals import record_refusal
+from bamboospring.sessions.session_opening import judge_opening
+from bamboospring.sessions.session_opening import OpeningPending
+from bamboospring.sessions.session_shutdown import disconnect_count
+from bamboospring.sessions.session_shutdown import sessions_to_disconnect
 from bamboospring.sessions.takeover import OrderPromotion
 from bamboospring.sessions.takeover import StoreRecord
 from bamboospring.sessions.takeover import Takeover
 from bamboospring.sessions.takeover import TakeoverCause
-from bamboospring.sessions.target_choice import choose
-from bamboospring.sessions.target_choice import Needs
+from bamboospring.sessions.target_choice import choose_target
 from bamboospring.sessions.target_choice import NoTarget
 from bamboospring.sessions.target_choice import SendTo
+from bamboospring.sessions.target_choice import TargetRequirements
 from bamboospring.sessions.vm_registry import ListedVm
 from bamboospring.sessions.vm_registry import VmRegistry
 from bamboospring.statements import Position
@@ -160,8 +160,10 @@
     """Run one read and return where it was served."""
     group, excluded = context.group, set()
     while True:
-        needs = Needs(received_at=now, at_primary=False, excluded=excluded)
-        choice = choose(
+        needs = TargetRequirements(
+            received_at=now, at_primary=False, excluded=excluded
+        )
+        choice = choose_target(
             group, route(Freshness.BOUNDED, age), needs, zone="a", now=now
         )
         name = choice.news.target.name
@@ -170,7 +172,7 @@
         if name == "p" or shown >= choice.after:
             return name
         group.view(name).shows(shown, now)
-        note_refusal(group, name, Refusal.BEHIND, now, needed=choice.after)
+        record_refusal(group, name, Refusal.BEHIND, now, needed=choice.after)
         excluded.add(name)
 
 
@@ -198,7 +200,7 @@
         samples.add(at, Position(term=1, index=index_at(at)))
     needed = Position(term=1, index=index_at(28.0))
     shown = Position(term=1, index=index_at(28.0 - gap))
-    found = behind_pause(samples, shown, needed)
+    found = catch_up_delay(samples, shown, needed)
     assert abs(found - pause) < 0.11, found
 
 
@@ -223,10 +225,12 @@
 
 
 def decide(context, at, *, at_primary=False, written=Position(), age=1.5):
-    context.choice = choose(
+    context.choice = choose_target(
         context.group,
         route(Freshness.OWN_WRITES, age),
-        Needs(received_at=at, at_primary=at_primary, written=written),
+        TargetRequirements(
+            received_at=at, at_primary=at_primary, last_commit=written
+        ),
         zone="a",
         now=at,
     )
@@ -411,7 +415,7 @@
 def when_takes(context, name, value):
     values = {name: value}
     context.taken = context.connections.take(
-        5.0, merit=lambda conn: link_merit(conn, values, None)
+        5.0, merit=lambda conn: link_fit(conn, values, None)
     )
 
 
@@ -428,7 +432,7 @@
 def then_clears(context):
     taken = context.connections.take(5.0)
     assert taken.values == {"lang": "1"}
-    assert orders_before(taken, {}, None, None) == [Clear()]
+    assert setup_orders(taken, {}, None, None) == [ResetConnection()]
 
 
 @given("a change of primary seen at {at:f} that takes {seconds:f} s")
@@ -439,7 +443,7 @@
 
 @then("a statement of {at:f} with {limit:d} s waits until {until:f}")
 def then_waits(context, at, limit, until):
-    waits, _retry = change_patience(
+    waits, _retry = change_wait(
         context.expected, now=at, deadline=at + limit, usual=at + 0.05
     )
     assert abs(waits - until) < 1e-6, waits
@@ -450,7 +454,7 @@
     "to come back after {retry:f} s"
 )
 def then_at_once_refused(context, at, limit, retry):
-    waits, after = change_patience(
+    waits, after = change_wait(
         context.expected, now=at, deadline=at + limit, usual=at + 0.05
     )
     assert waits == at and abs(after - retry) < 1e-6, (waits, after)
@@ -458,7 +462,7 @@
 
 @then("a statement of {at:f} with {limit:d} s does not wait when overdue")
 def then_overdue(context, at, limit):
-    waits, _retry = change_patience(
+    waits, _retry = change_wait(
         context.expected, now=at, deadline=at + limit, usual=at + 0.05
     )
     assert waits == at + 0.05, waits
@@ -471,7 +475,7 @@
 def then_evenly(context, count, seconds, grace):
     left, elapsed, most = count, 0.0, 0
     while left and elapsed < grace:
-        closed = sessions_to_close(left, elapsed, grace, 0.05)
+        closed = disconnect_count(left, elapsed, grace, 0.05)
         most = max(most, closed)
         left -= closed
         elapsed += 0.05
@@ -532,7 +536,7 @@
             context.board, "d", "", now=0.0, running=held, held=held
         )
 
-    assert isinstance(judge(longest - 0.01), Hold)
+    assert isinstance(judge(longest - 0.01), OpeningPending)
     refusal = judge(longest)
     assert isinstance(refusal, Overloaded), refusal
     assert refusal.reason is Reason.STARTING
@@ -558,7 +562,7 @@
             context.board, "d", "", now=0.0, running=running, held=0.0
         )
 
-    assert isinstance(judge(first), Hold)
+    assert isinstance(judge(first), OpeningPending)
     assert judge(first + 0.01) is None
 
 
@@ -592,7 +596,7 @@
 )
 def then_first_two(context, elapsed, grace):
     found = leavers(context, elapsed, grace)
-    assert [s.used_at for s in found] == [95.0, 99.0], found
+    assert [s.last_used_at for s in found] == [95.0, 99.0], found
 
 
 @then("after {elapsed:f} s it tells all three")
@@ -601,7 +605,7 @@
 
 
 def leavers(context, elapsed, grace):
-    return choose_leavers(
+    return sessions_to_disconnect(
         context.resting, elapsed=elapsed, grace=float(grace), now=100.0
     )
 
--- a/features/steps/session_texts_steps.py
+++ b/features/steps/session_texts_steps.py
@@ -27,11 +27,11 @@
 from bamboospring.sessions.model import Freshness
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
-from bamboospring.sessions.opening import judge_opening
-from bamboospring.sessions.ports import Acknowledged
+from bamboospring.sessions.ports import AcknowledgedLocally
 from bamboospring.sessions.ports import Served
 from bamboospring.sessions.session import Session
-from bamboospring.sessions.session import Worker
+from bamboospring.sessions.session import StatementExecutor
+from bamboospring.sessions.session_opening import judge_opening
 
 ROUTE = Route(
     name="r",
@@ -79,7 +79,7 @@
         self.callback = None
 
 
-class FakeWorker(Worker):
+class FakeWorker(StatementExecutor):
     """Serves everything at once, and notes what was given up."""
 
     def __init__(self):
@@ -211,7 +211,7 @@
     match outcome:
         case Served():
             return "served"
-        case Acknowledged():
+        case AcknowledgedLocally():
             return "acknowledged"
     name = type(outcome).__name__
     word = {"NotRun": "not_run"}.get(name, name.lower())
--- a/features/steps/session_worlds.py
+++ b/features/steps/session_worlds.py
@@ -42,9 +42,9 @@
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.takeover import TakeoverPhase
 from bamboospring.sessions.takeover import TellTarget
-from bamboospring.sessions.target_choice import choose
-from bamboospring.sessions.target_choice import Needs
+from bamboospring.sessions.target_choice import choose_target
 from bamboospring.sessions.target_choice import SendTo
+from bamboospring.sessions.target_choice import TargetRequirements
 from bamboospring.statements import Position
 from bamboospring.store_version import era_of
 from bamboospring.store_version import revision_of
@@ -674,14 +674,16 @@
             objective=0.2,
             max_age=age,
         )
-        needs = Needs(
+        needs = TargetRequirements(
             received_at=self.now,
             at_primary=False,
-            written=Position(
+            last_commit=Position(
                 term=1 if self.written else 0, index=self.written
             ),
         )
-        choice = choose(self.group, route, needs, zone="m1", now=self.now)
+        choice = choose_target(
+            self.group, route, needs, zone="m1", now=self.now
+        )
         if isinstance(choice, SendTo):
             self.check(choice, age)
 
--- a/features/steps/team_quota_steps.py
+++ b/features/steps/team_quota_steps.py
@@ -25,18 +25,18 @@
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.model import Team
-from bamboospring.sessions.quota_client import Admitted
+from bamboospring.sessions.quota_client import Permit
 from bamboospring.sessions.quota_client import QuotaClient
 from bamboospring.sessions.quota_counter import QuotaCounter
 from bamboospring.sessions import quota_holders
 from bamboospring.sessions.quota_holders import choose_vms
-from bamboospring.sessions.quota_holders import CONFIRMED_FOR
-from bamboospring.sessions.quota_holders import counts_for
+from bamboospring.sessions.quota_holders import CONFIRMATION_LIFETIME
+from bamboospring.sessions.quota_holders import may_count
 from bamboospring.sessions.quota_holders import next_holders
 from bamboospring.sessions.quota_holders import QuotaHolders
 from bamboospring.sessions.quota_holders import QuotaVm
 from bamboospring.sessions.quota_holders import settled_holders
-from bamboospring.sessions.replies import surely_not_run
+from bamboospring.sessions.replies import is_certainly_not_run
 from bamboospring.sessions import team_quota
 from bamboospring.sessions.team_quota import TeamQuotas
 from bamboospring.sessions.team_quota import Tolerance
@@ -198,7 +198,7 @@
 
     def counting(self, team: str, instant: float) -> int:
         return sum(
-            counts_for(
+            may_count(
                 vm.known,
                 vm.vm,
                 team,
@@ -253,7 +253,10 @@
 def then_never_two(context: Any) -> None:
     faults = [f for seed in range(500) if (f := explore_counting(seed))]
     assert not faults, faults[:3]
-    assert quota_holders.HANDOVER > CONFIRMED_FOR * 1.05 + ANSWER_TIME
+    assert (
+        quota_holders.HANDOVER_DELAY
+        > CONFIRMATION_LIFETIME * 1.05 + ANSWER_TIME
+    )
 
 
 @then("no explored return of the store leaves two VMs counting")
@@ -424,7 +427,7 @@
         self.asked[team] += 1
         sent_at = self.clock.now()
 
-        def admitted(result: Admitted | Overloaded) -> None:
+        def admitted(result: Permit | Overloaded) -> None:
             now = self.clock.now()
             if isinstance(result, Overloaded):
                 self.refused.append((now - sent_at, result))
@@ -593,4 +596,4 @@
         end = getattr(outcomes, row["outcome"])(
             reason=outcomes.Reason(row["reason"])
         )
-        assert surely_not_run(end) == (row["returned"] == "yes"), row
+        assert is_certainly_not_run(end) == (row["returned"] == "yes"), row
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -44,9 +44,9 @@
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.primary_health import PrimarySight
 from bamboospring.sessions.primary_health import replacement_cause
-from bamboospring.sessions.questions import NoReport
-from bamboospring.sessions.questions import TargetQuestions
 from bamboospring.sessions.takeover import TakeoverCause
+from bamboospring.sessions.target_control import NoReport
+from bamboospring.sessions.target_control import TargetControl
 from bamboospring.shares import Units
 from bamboospring.target_link import Health
 from bamboospring.target_link import Opened
@@ -310,7 +310,7 @@
         make_dialer=lambda target, on_ended: world.dialer,
     )
     pools.pool(world.pool.target).set_share(Units(slots=2, connections=2))
-    questions = TargetQuestions(reactor=world.clock, pools=pools)
+    questions = TargetControl(reactor=world.clock, pools=pools)
     context.reports = []
     questions.ask(group, "t", AskReport(), 0.8, context.reports.append)
     world.clock.run_until(0.5)
--- a/features/steps/zone_holders_steps.py
+++ b/features/steps/zone_holders_steps.py
@@ -30,11 +30,11 @@
 from bamboospring.pools import Pools
 from bamboospring.retry_budget import RetryBudget
 from bamboospring.sessions.access import Identity
-from bamboospring.sessions.held_messages import decode_result
-from bamboospring.sessions.held_messages import decode_statement
-from bamboospring.sessions.held_messages import encode_result
-from bamboospring.sessions.held_messages import encode_statement
-from bamboospring.sessions.held_messages import HeldStatement
+from bamboospring.sessions.forward_messages import decode_result
+from bamboospring.sessions.forward_messages import decode_statement
+from bamboospring.sessions.forward_messages import encode_result
+from bamboospring.sessions.forward_messages import encode_statement
+from bamboospring.sessions.forward_messages import ForwardRequest
 from bamboospring.sessions.holder_server import HolderServer
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import Freshness
@@ -57,7 +57,7 @@
 from bamboospring.sessions.runner import StatementRunner
 from bamboospring.sessions.session import Job
 from bamboospring.sessions.session import Session
-from bamboospring.sessions.story import StoryTeller
+from bamboospring.sessions.statement_trace import StatementLogger
 from bamboospring.sessions.target_keeper import TargetKeeper
 from bamboospring.sessions.team_quota import Tolerance
 from bamboospring.sessions.zone_holders import ZoneHolders
@@ -295,7 +295,7 @@
             board=self.board,
             pools=self.pools,
             budget=RetryBudget(percent=20.0),
-            teller=StoryTeller(on_told=lambda story, outcome, took: None),
+            teller=StatementLogger(on_told=lambda story, outcome, took: None),
             doubt=lambda group: None,
             peers=self.peers,
             holders=self.holders,
@@ -359,7 +359,7 @@
         self.clock.call_later(0.5, self.refresh)
         for vm in self.vms:
             vm.board.group("g").proof.renew(now)
-            vm.holders.take_list(
+            vm.holders.update_members(
                 [v.listed for v in self.vms if v.up and v.zone == vm.zone],
                 now,
             )
@@ -428,7 +428,7 @@
 
 def view_of(context: Any, vm: ZoneVm) -> ZoneHolders:
     holders = ZoneHolders(vm=vm.name)
-    holders.take_list(context.zone, 0.0)
+    holders.update_members(context.zone, 0.0)
     return holders
 
 
@@ -601,7 +601,7 @@
     Position, term=st.integers(0, 9), index=st.integers(0, 10**9)
 )
 READS = st.builds(
-    HeldStatement,
+    ForwardRequest,
     id=TEXT,
     caller=TEXT,
     group=TEXT,
@@ -646,7 +646,7 @@
 def then_same(context: Any, count: int) -> None:
     @settings(max_examples=count, derandomize=True, deadline=None)
     @for_all(READS, RESULTS)
-    def check(read: HeldStatement, result: Any) -> None:
+    def check(read: ForwardRequest, result: Any) -> None:
         assert decode_statement(encode_statement(read)) == read
         assert decode_result(encode_result(result)) == result
 
--- a/features/steps/zone_relays_steps.py
+++ b/features/steps/zone_relays_steps.py
@@ -16,8 +16,8 @@
 from bamboospring.sessions.relay import RELAY_INTERVAL
 from bamboospring.sessions.relay import STANDS
 from bamboospring.sessions.relay import TIMEOUT
-from bamboospring.sessions.zone_relays import Asker
 from bamboospring.sessions.zone_relays import AskRelay
+from bamboospring.sessions.zone_relays import FactRequester
 from bamboospring.sessions.zone_relays import FactSource
 from bamboospring.sessions.zone_relays import ZoneRelays
 from features.steps import session_worlds
@@ -29,7 +29,7 @@
 class Vm:
     """A VM that asks for facts; `informed` has the times of its answers."""
 
-    asker: Asker
+    asker: FactRequester
     due: float
     source: FactSource = field(default_factory=FactSource)
     informed: list[float] = field(default_factory=list)
@@ -49,7 +49,7 @@
         self.answers: Counter[int] = Counter()
         self.vms = [
             Vm(
-                asker=Asker(
+                asker=FactRequester(
                     vm=f"vm-{n}",
                     address=f"vm-{n}:1",
                     availability_zone=f"zone-{n % zones}",
