--- a/bamboospring/answer_times.py
+++ b/bamboospring/adaptive_timeout.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-__all__ = ["AnswerTimes"]
+__all__ = ["AdaptiveTimeout"]
 
 # So many of the last answers are looked at, and the limit is so many times
 # the slowest of them: answers of one platform vary by less.
@@ -24,30 +24,30 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class AnswerTimes:
+class AdaptiveTimeout:
     """The seconds that the last answers took, and what was lost since.
 
     `least` is the shortest limit, which also is the first.
     """
 
-    least: float
+    min_timeout: float
     _last: deque[float] = field(
         default_factory=lambda: deque(maxlen=LOOKED_AT)
     )
     _lost: int = 0
 
-    def answered(self, seconds: float) -> None:
+    def record_answer(self, seconds: float) -> None:
         """Note an answer."""
         self._last.append(seconds)
         self._lost = 0
 
-    def timed_out(self) -> None:
+    def record_timeout(self) -> None:
         """Note a call without an answer; the next is given twice as long."""
         self._lost += 1
 
-    def limit(self, most: float) -> float:
+    def timeout(self, max_timeout: float) -> float:
         """Return how long to wait for the next answer, `most` at most."""
         slowest = max(self._last, default=0.0)
-        usual = max(self.least, TIMES_SLOWEST * slowest)
+        usual = max(self.min_timeout, TIMES_SLOWEST * slowest)
         # Bounded, because a long outage must not overflow the power.
-        return min(most, usual * 2.0 ** min(self._lost, 16))
+        return min(max_timeout, usual * 2.0 ** min(self._lost, 16))
--- a/bamboospring/admission.py
+++ b/bamboospring/admission.py
@@ -22,7 +22,14 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 
-__all__ = ["Admission", "Refused", "Run", "Ticket", "Verdict", "Wait"]
+__all__ = [
+    "Admission",
+    "SlotRefused",
+    "SlotGranted",
+    "Ticket",
+    "Verdict",
+    "SlotQueued",
+]
 
 # How fast the estimate of a statement's time follows what is seen: about
 # this share of the gap for each statement.
@@ -36,7 +43,7 @@
 # out at the target has used a slot and a connection for nothing.
 WAIT_PART = 0.6
 # A statement is started only with this many times the usual time left.
-START_RESERVE = 1.5
+MIN_REMAINING_FACTOR = 1.5
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -63,28 +70,28 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Run:
+class SlotGranted:
     """The slot is taken; `Admission.finished` gives it back."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Wait:
+class SlotQueued:
     """It waits; `Admission.next` hands it out later."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Refused:
+class SlotRefused:
     """It gets no slot and was not run."""
 
     ticket: Ticket
     outcome: Overloaded
 
 
-Verdict = Run | Wait | Refused
+Verdict = SlotGranted | SlotQueued | SlotRefused
 
 
 @dataclass(slots=True, kw_only=True)
@@ -126,24 +133,24 @@
         if len(self._queue) >= self.queue_limit:
             verdicts.append(self._push_out(now))
         self._enter(ticket)
-        verdicts.append(Wait(ticket=ticket))
+        verdicts.append(SlotQueued(ticket=ticket))
         verdicts.extend(self._refuse_hopeless(now))
         return verdicts
 
-    def finished(self, ticket: Ticket, seconds: float) -> None:
+    def release(self, ticket: Ticket, seconds: float) -> None:
         """Give a slot back after `seconds` of use."""
         self.running -= 1
         self.estimate += SMOOTHING * (seconds - self.estimate)
         self._use(ticket.caller).running -= 1
         self._tidy(ticket.caller)
 
-    def next(self, now: float) -> list[Verdict]:
+    def grant_next(self, now: float) -> list[Verdict]:
         """Hand free slots to those who wait; refuse those too late."""
         verdicts: list[Verdict] = []
         while self._queue and self.running < self.slots:
             ticket = self._queue.pop(0)
             self._leave(ticket)
-            if ticket.deadline < now + self.estimate * START_RESERVE:
+            if ticket.deadline < now + self.estimate * MIN_REMAINING_FACTOR:
                 verdicts.append(self._refuse(ticket, Reason.DEADLINE, now))
             else:
                 verdicts.append(self._start(ticket))
@@ -157,7 +164,7 @@
             self.cancel(ticket)
         return [self._refuse(ticket, Reason.DEADLINE, now) for ticket in late]
 
-    def waits(self, ticket: Ticket) -> bool:
+    def is_queued(self, ticket: Ticket) -> bool:
         """Tell whether a ticket is in the queue."""
         return ticket in self._queue
 
@@ -172,7 +179,7 @@
             return float("inf")
         return (ahead + 1) * self.estimate / self.slots
 
-    def _refusal(self, ticket: Ticket, now: float) -> Refused | None:
+    def _refusal(self, ticket: Ticket, now: float) -> SlotRefused | None:
         allowed = self._fair_queue(ticket, now)
         if self._use(ticket.caller).waiting >= allowed:
             refused = self._refuse(ticket, Reason.CALLER_LIMIT, now)
@@ -231,7 +238,7 @@
                 high = middle
         return low
 
-    def _push_out(self, now: float) -> Refused:
+    def _push_out(self, now: float) -> SlotRefused:
         """Make room: the caller that waits most gives up its last place."""
         most = max(self._uses.values(), key=lambda use: use.waiting).waiting
         for ticket in reversed(self._queue):
@@ -255,18 +262,20 @@
         self._use(ticket.caller).waiting -= 1
         self._tidy(ticket.caller)
 
-    def _start(self, ticket: Ticket) -> Run:
+    def _start(self, ticket: Ticket) -> SlotGranted:
         self.running += 1
         use = self._use(ticket.caller)
         use.running += 1
         self._round = max(self._round, ticket.round)
         use.round = max(use.round, self._round)
-        return Run(ticket=ticket)
+        return SlotGranted(ticket=ticket)
 
-    def _refuse(self, ticket: Ticket, reason: Reason, now: float) -> Refused:
+    def _refuse(
+        self, ticket: Ticket, reason: Reason, now: float
+    ) -> SlotRefused:
         wait = self.wait_estimate(len(self._queue))
         retry_ms = min(MAX_RETRY_AFTER_MS, wait * 1000)
-        return Refused(
+        return SlotRefused(
             ticket=ticket,
             outcome=Overloaded(
                 reason=reason,
--- a/bamboospring/breaker.py
+++ b/bamboospring/breaker.py
@@ -35,7 +35,7 @@
 
     failures: int = 2
     first_pause: float = 0.1
-    longest_pause: float = 2.0
+    max_open_duration: float = 2.0
     slow_start: float = 1.0
     first_part: float = 0.34
 
@@ -100,7 +100,8 @@
             return
         doublings = min(self.failures - self.timing.failures, 16)
         pause = min(
-            self.timing.longest_pause, self.timing.first_pause * 2**doublings
+            self.timing.max_open_duration,
+            self.timing.first_pause * 2**doublings,
         )
         self.circuit = Circuit.OPEN
         self.retry_at = now + pause * (1 + draw / 2)
--- a/bamboospring/change_actions.py
+++ b/bamboospring/change_actions.py
@@ -9,7 +9,7 @@
 from bamboospring.blackboard import GroupRecord
 from bamboospring.blackboard import Target
 from bamboospring.records import decode_group
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = [
     "Action",
@@ -44,7 +44,7 @@
     target: Target
     term: int = 0
     primary: str = ""
-    known: Probe | None = None
+    known: ProbeResult | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/bamboospring/change_base.py
+++ b/bamboospring/change_base.py
@@ -17,8 +17,8 @@
 from bamboospring.change_actions import UpdateGroup
 from bamboospring.change_plan import Phase
 from bamboospring.change_plan import Plan
-from bamboospring.commit import majority_of
-from bamboospring.target_api import Probe
+from bamboospring.commit import majority_size
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["ChangeBase", "RESEND"]
 
@@ -54,9 +54,9 @@
         self.marks: list[tuple[Phase, float]] = []
         self._targets = {target.name: target for target in targets}
         self._object: GroupObject | None = None
-        self._probes: dict[str, Probe] = {}
+        self._probes: dict[str, ProbeResult] = {}
         self._probe_lost: set[str] = set()
-        self._fenced: dict[str, Probe] = {}
+        self._fenced: dict[str, ProbeResult] = {}
         self._start = 0
         self._pause_end = (0, 0)
         self._phase_at = 0.0
@@ -77,7 +77,7 @@
         return self._object.record() if self._object is not None else None
 
     def _majority(self) -> int:
-        return majority_of(len(self._targets))
+        return majority_size(len(self._targets))
 
     def _enter(self, phase: Phase, now: float) -> None:
         self.phase = phase
--- a/bamboospring/change_pause.py
+++ b/bamboospring/change_pause.py
@@ -10,7 +10,7 @@
 from bamboospring.change_object import ObjectUpdates
 from bamboospring.change_plan import Phase
 from bamboospring.primary_choice import log_end
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["PAUSE_PATIENCE", "PlannedSteps"]
 
@@ -38,7 +38,7 @@
         return self.plan.preferred[0] if self.plan.preferred else ""
 
     def _is_nearly_caught_up(
-        self, record: GroupRecord, primary: Probe
+        self, record: GroupRecord, primary: ProbeResult
     ) -> bool:
         chosen = self._probes[self._first_choice()]
         works = primary.role is Role.PRIMARY and primary.term == record.term
@@ -47,7 +47,7 @@
         return works and follows and lacking <= NEARLY_CAUGHT_UP
 
     def _paused(
-        self, accepted: bool, probe: Probe, now: float
+        self, accepted: bool, probe: ProbeResult, now: float
     ) -> list[Action]:
         if not accepted:
             return self._give_up_pause(now)
@@ -60,7 +60,7 @@
         return self._order(OrderKind.PROBE, target, now)
 
     def _check_caught_up(
-        self, name: str, probe: Probe, now: float
+        self, name: str, probe: ProbeResult, now: float
     ) -> list[Action]:
         if name != self._first_choice():
             return []
--- a/bamboospring/change_runner.py
+++ b/bamboospring/change_runner.py
@@ -31,7 +31,7 @@
 from bamboospring.reactor import Reactor
 from bamboospring.rendezvous import shard_of
 from bamboospring.steward_care import Care
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 from bamboospring.target_orders import send_order
 
 __all__ = ["ChangeRunner", "ROUND", "TICK"]
@@ -129,7 +129,7 @@
     def _order(
         self, name: str, care: Care, change: Change, order: Order
     ) -> None:
-        def answered(done: bool, probe: Probe | None) -> None:
+        def answered(done: bool, probe: ProbeResult | None) -> None:
             if care.change is not change:
                 return
             now = self._reactor.now()
--- a/bamboospring/commit.py
+++ b/bamboospring/commit.py
@@ -17,26 +17,26 @@
 __all__ = [
     "count_holding",
     "held_by_majority",
-    "majorities_meet",
-    "majority_of",
+    "majorities_overlap",
+    "majority_size",
     "targets_holding",
 ]
 
 
-def majority_of(count: int) -> int:
+def majority_size(count: int) -> int:
     """Return how many of `count` targets make a majority."""
     return count // 2 + 1
 
 
-def majorities_meet(one: Collection[str], two: Collection[str]) -> bool:
+def majorities_overlap(one: Collection[str], two: Collection[str]) -> bool:
     """Tell whether any majority of one set shares a target with any of two.
 
     Where it does not, a write held by a majority of the old targets may be at
     none of the new ones that a change of primary stops.
     """
     common = len(set(one) & set(two))
-    from_one = majority_of(len(one)) - (len(one) - common)
-    from_two = majority_of(len(two)) - (len(two) - common)
+    from_one = majority_size(len(one)) - (len(one) - common)
+    from_two = majority_size(len(two)) - (len(two) - common)
     return max(0, from_one) + max(0, from_two) > common
 
 
@@ -68,5 +68,5 @@
     """Tell whether a majority of the group's targets holds a position."""
     if group.record.torn:
         return False
-    needed = majority_of(len(group.record.targets))
+    needed = majority_size(len(group.record.targets))
     return count_holding(group, position) >= needed
--- a/bamboospring/concurrency_limit.py
+++ b/bamboospring/concurrency_limit.py
@@ -32,31 +32,31 @@
     Nothing is left of a refusal after `forgotten_after` seconds.
     """
 
-    most: int
+    maximum: int
     forgotten_after: float = FORGOTTEN_AFTER
     _value: float = 0.0
     _lowered_at: float = -1e9
 
     def __post_init__(self) -> None:
-        self._value = float(self.most)
+        self._value = float(self.maximum)
 
     def allowed(self, now: float) -> int:
         """Return how many may be under way."""
         if now - self._lowered_at > self.forgotten_after:
-            self._value = float(self.most)
-        return max(1, min(self.most, int(self._value)))
+            self._value = float(self.maximum)
+        return max(1, min(self.maximum, int(self._value)))
 
-    def set_most(self, most: int) -> None:
+    def set_maximum(self, most: int) -> None:
         """Take another upper bound."""
-        if most > self.most:
-            self._value += most - self.most
-        self.most = most
+        if most > self.maximum:
+            self._value += most - self.maximum
+        self.maximum = most
 
-    def served(self) -> None:
+    def record_success(self) -> None:
         """Note that one was run: by one more after as many as it allows."""
-        self._value = min(float(self.most), self._value + 1 / self._value)
+        self._value = min(float(self.maximum), self._value + 1 / self._value)
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Note that the target had no slot."""
         if now - self._lowered_at >= ONE_MOMENT:
             self._lowered_at = now
--- a/bamboospring/confirm.py
+++ b/bamboospring/confirm.py
@@ -19,7 +19,7 @@
 from bamboospring.http_client import HttpLost
 from bamboospring.reactor import Reactor
 from bamboospring.target_api import decode_probe
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["Confirmer", "judge_round"]
 
@@ -42,10 +42,12 @@
     asked_at: float
     left: int
     waiting: list[_Waiting]
-    probes: dict[str, Probe] = field(default_factory=dict)
+    probes: dict[str, ProbeResult] = field(default_factory=dict)
 
 
-def judge_round(group: Group, probes: dict[str, Probe]) -> list[str] | None:
+def judge_round(
+    group: Group, probes: dict[str, ProbeResult]
+) -> list[str] | None:
     """Return the replicas that hold all that the primary held, by name.
 
     None if no majority stands by the group's term: then the round confirms
--- a/bamboospring/connections.py
+++ b/bamboospring/connections.py
@@ -21,7 +21,7 @@
 from typing import Protocol
 from typing import TypeVar
 
-__all__ = ["ConnectionTiming", "Connections"]
+__all__ = ["ConnectionTiming", "ConnectionTracker"]
 
 NEVER = -1e9
 # A target that had no connection left is asked again after so many times the
@@ -32,8 +32,8 @@
 class Heard(Protocol):
     """A connection as far as this module needs it."""
 
-    heard_at: float
-    used_at: float
+    last_response_at: float
+    last_used_at: float
     team: str
 
 
@@ -52,18 +52,18 @@
     all but a few are closed after `idle_spare` already.
     """
 
-    pace: float = 0.02
-    heartbeat: float = 1.0
+    open_interval: float = 0.02
+    heartbeat_interval: float = 1.0
     heartbeat_timeout: float = 1.0
-    forgotten: float = 60.0
-    scarce: float = 5.0
-    idle: float = float("inf")
-    idle_scarce: float = float("inf")
-    idle_spare: float = float("inf")
+    unconfirmed_close_timeout: float = 60.0
+    scarcity_duration: float = 5.0
+    idle_timeout: float = float("inf")
+    scarce_idle_timeout: float = float("inf")
+    spare_idle_timeout: float = float("inf")
 
 
 @dataclass(slots=True, kw_only=True)
-class Connections(Generic[T]):
+class ConnectionTracker(Generic[T]):
     """The connections of one pool: opening, idle, checked and in use."""
 
     timing: ConnectionTiming = field(default_factory=ConnectionTiming)
@@ -75,9 +75,9 @@
     _silent: list[float] = field(default_factory=list)
     _full_until: float = NEVER
     # How long connections may rest; None: as the timing says.
-    idle_limit: float | None = None
+    idle_timeout: float | None = None
     # How many of them may rest for so long; those used last.
-    idle_kept: int = 1
+    max_kept_idle: int = 1
 
     @property
     def total(self) -> int:
@@ -98,26 +98,26 @@
             self.open -= 1
         return closed
 
-    def take(
+    def lease_idle(
         self,
         now: float,
         team: str = "",
-        merit: Callable[[Any], int] | None = None,
+        score: Callable[[Any], int] | None = None,
     ) -> T | None:
         """Take the team's idle connection used last, if heard lately.
 
         With `merit` the one of the highest merit is taken, of equals the
         one used last.
         """
-        oldest = now - 2 * self.timing.heartbeat
+        oldest = now - 2 * self.timing.heartbeat_interval
         fit = [
             conn
             for conn in reversed(self._idle)
-            if conn.team == team and conn.heard_at >= oldest
+            if conn.team == team and conn.last_response_at >= oldest
         ]
         if not fit:
             return None
-        best = fit[0] if merit is None else max(fit, key=merit)
+        best = fit[0] if score is None else max(fit, key=score)
         self._idle.remove(best)
         return best
 
@@ -129,7 +129,7 @@
         others = [conn for conn in self._idle if conn.team not in spared]
         if not others:
             return None
-        oldest = min(others, key=lambda conn: conn.used_at)
+        oldest = min(others, key=lambda conn: conn.last_used_at)
         self._idle.remove(oldest)
         self.open -= 1
         return oldest
@@ -155,7 +155,7 @@
         """Note that the target has ended silent ones: they count no more."""
         del self._silent[:count]
 
-    def wait_to_open(self, now: float, missing: int) -> float | None:
+    def open_delay(self, now: float, missing: int) -> float | None:
         """Return the seconds until one may be opened, None if none may.
 
         `missing` is how many are needed; those being opened count.
@@ -171,32 +171,34 @@
         # forgotten; it has not seen it closed. With all of the share open
         # beside those, it would be over its limit and refuse the rest. One
         # connection is always allowed, or nothing could run at all.
-        oldest = now - self.timing.forgotten
+        oldest = now - self.timing.unconfirmed_close_timeout
         self._silent = [at for at in self._silent if at > oldest]
         return self.total + len(self._silent)
 
-    def opening_one(self, now: float, *, draw: float) -> None:
+    def record_opening(self, now: float, *, draw: float) -> None:
         """Note that one is being opened; `draw` is from 0 up to 1."""
         self.opening += 1
-        self._next_open_at = now + self.timing.pace * (0.5 + draw)
+        self._next_open_at = now + self.timing.open_interval * (0.5 + draw)
 
-    def target_full(self, now: float, *, place_left: bool = False) -> None:
+    def record_target_full(
+        self, now: float, *, place_left: bool = False
+    ) -> None:
         """Note that the target itself allows no more connections now.
 
         With `place_left` one of ours is being closed for another.
         """
-        self._full_until = now + self.timing.scarce
+        self._full_until = now + self.timing.scarcity_duration
         if place_left:
             return
         self._next_open_at = max(
-            self._next_open_at, now + FULL_PAUSE * self.timing.pace
+            self._next_open_at, now + FULL_PAUSE * self.timing.open_interval
         )
 
     def is_scarce(self, now: float) -> bool:
         """Tell whether the target's connections were used up lately."""
         return now < self._full_until
 
-    def opened(self, conn: T) -> bool:
+    def add_opened(self, conn: T) -> bool:
         """Take a new connection in; False if it has to be closed."""
         self.opening -= 1
         self.open += 1
@@ -206,27 +208,33 @@
         """Note that one could not be opened."""
         self.opening -= 1
 
-    def due(self, now: float) -> list[T]:
+    def take_due_for_check(self, now: float) -> list[T]:
         """Take out the idle connections that are to be checked now."""
-        oldest = now - self.timing.heartbeat
-        due = [conn for conn in self._idle if conn.heard_at <= oldest]
-        self._idle = [conn for conn in self._idle if conn.heard_at > oldest]
+        oldest = now - self.timing.heartbeat_interval
+        due = [conn for conn in self._idle if conn.last_response_at <= oldest]
+        self._idle = [
+            conn for conn in self._idle if conn.last_response_at > oldest
+        ]
         return due
 
-    def expired(self, now: float) -> list[T]:
+    def take_expired(self, now: float) -> list[T]:
         """Take out the idle connections that are to be closed now."""
         timing = self.timing
-        limit = timing.idle if self.idle_limit is None else self.idle_limit
+        limit = (
+            timing.idle_timeout
+            if self.idle_timeout is None
+            else self.idle_timeout
+        )
         if self.is_scarce(now):
-            limit = min(limit, timing.idle_scarce)
-        by_use = sorted(self._idle, key=lambda conn: conn.used_at)
-        spare = max(0, len(by_use) - self.idle_kept)
-        limits = [min(limit, timing.idle_spare)] * spare
+            limit = min(limit, timing.scarce_idle_timeout)
+        by_use = sorted(self._idle, key=lambda conn: conn.last_used_at)
+        spare = max(0, len(by_use) - self.max_kept_idle)
+        limits = [min(limit, timing.spare_idle_timeout)] * spare
         limits += [limit] * (len(by_use) - spare)
         out = [
             conn
             for conn, longest in zip(by_use, limits)
-            if conn.used_at < now - longest
+            if conn.last_used_at < now - longest
         ]
         for conn in out:
             self._idle.remove(conn)
@@ -236,7 +244,7 @@
     def suspect_idle(self) -> None:
         """Have all idle connections checked before they are used."""
         for conn in self._idle:
-            conn.heard_at = NEVER
+            conn.last_response_at = NEVER
 
     def take_idle(self) -> list[T]:
         """Take out all idle connections for closing."""
--- a/bamboospring/entry.py
+++ b/bamboospring/entry.py
@@ -38,9 +38,9 @@
 from bamboospring.statement_log import log_outcome
 from bamboospring.statements import Position
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
-from bamboospring.tokens import BadToken
-from bamboospring.tokens import Session
+from bamboospring.statements import StepKind
+from bamboospring.tokens import InvalidToken
+from bamboospring.tokens import SessionPositions
 from bamboospring.tokens import TokenCodec
 
 __all__ = ["Entry"]
@@ -49,10 +49,10 @@
 NOT_ALLOWED = 405
 
 STEPS = {
-    "begin": Step.BEGIN,
-    "statement": Step.STATEMENT,
-    "commit": Step.COMMIT,
-    "rollback": Step.ROLLBACK,
+    "begin": StepKind.BEGIN,
+    "statement": StepKind.STATEMENT,
+    "commit": StepKind.COMMIT,
+    "rollback": StepKind.ROLLBACK,
 }
 
 Respond = Callable[[Response], None]
@@ -125,7 +125,7 @@
 
     def _open_session(self, body: bytes, respond: Respond) -> None:
         req = SessionRequest.model_validate_json(body)
-        token = self._codec.encode(Session(caller=req.caller))
+        token = self._codec.encode(SessionPositions(caller=req.caller))
         respond(Response(body=orjson.dumps({"token": token})))
 
     def _run_statement(self, body: bytes, respond: Respond) -> None:
@@ -157,7 +157,7 @@
         **more: Any,
     ) -> None:
         session = self._codec.decode(req.token)
-        if isinstance(session, BadToken):
+        if isinstance(session, InvalidToken):
             respond(bad_request(session.message, Reason.BAD_TOKEN))
             return
         begun_at = self._reactor.now()
@@ -184,7 +184,7 @@
         self._forwarder.forward(stmt, done)
 
     def _respond(
-        self, session: Session, stmt: Statement, outcome: Outcome
+        self, session: SessionPositions, stmt: Statement, outcome: Outcome
     ) -> Response:
         if isinstance(outcome, Done) and _wrote(stmt):
             position = Position(term=outcome.term, index=outcome.index)
@@ -193,6 +193,6 @@
 
 
 def _wrote(stmt: Statement) -> bool:
-    if stmt.step is Step.AUTOCOMMIT:
+    if stmt.step is StepKind.AUTOCOMMIT:
         return stmt.write
-    return stmt.step is Step.COMMIT
+    return stmt.step is StepKind.COMMIT
--- a/bamboospring/exchange.py
+++ b/bamboospring/exchange.py
@@ -15,10 +15,10 @@
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.reactor import Reactor
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 from bamboospring.target_api import decode_answer
 from bamboospring.target_api import encode_execute
 from bamboospring.target_api import TargetAnswer
@@ -64,7 +64,7 @@
     def send(
         self,
         stmt: Statement,
-        leased: Leased,
+        leased: LeasedConnection,
         *,
         term: int,
         min_index: int,
@@ -110,7 +110,7 @@
 
 def _refuse_result(
     stmt: Statement,
-    leased: Leased,
+    leased: LeasedConnection,
     answer: TargetAnswer,
     on_answer: OnTargetAnswer,
 ) -> None:
@@ -119,7 +119,7 @@
     A lone read has failed. What else ran is reported as lost: a transaction
     is rolled back with its connection, a write is unknown to its caller.
     """
-    if stmt.write or stmt.step is not Step.AUTOCOMMIT:
+    if stmt.write or stmt.step is not StepKind.AUTOCOMMIT:
         leased.conn.close()
         on_answer(HttpLost(sent=True, reason="size"))
         return
--- a/bamboospring/flights.py
+++ b/bamboospring/flights.py
@@ -6,7 +6,7 @@
 
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import Group
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.reactor import Reactor
 from bamboospring.routing import is_silent
 
@@ -22,7 +22,7 @@
     """
 
     term = 0
-    sent_on: Leased | None = None
+    sent_on: LeasedConnection | None = None
     doubted = False
 
     def term_ended(self) -> None:
--- a/bamboospring/forwarding.py
+++ b/bamboospring/forwarding.py
@@ -29,8 +29,8 @@
 from bamboospring.rendezvous import Placement
 from bamboospring.retry_budget import RetryBudget
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
-from bamboospring.tokens import BadToken
+from bamboospring.statements import StepKind
+from bamboospring.tokens import InvalidToken
 from bamboospring.tokens import TokenCodec
 from bamboospring.wire import decode_outcome
 from bamboospring.wire import encode_statement
@@ -129,13 +129,17 @@
 
     def forward(self, stmt: Statement, done: OnOutcome) -> None:
         """Have a statement run and call back once."""
-        if stmt.step in (Step.STATEMENT, Step.COMMIT, Step.ROLLBACK):
+        if stmt.step in (
+            StepKind.STATEMENT,
+            StepKind.COMMIT,
+            StepKind.ROLLBACK,
+        ):
             self._forward_step(stmt, done)
             return
         if not self._board.knows_group(stmt.group):
             done(self._no_such_group())
             return
-        self._budget.first_try()
+        self._budget.record_first_attempt()
         now = self._reactor.now()
         holders = self._placement.holders(stmt.group)
         doubted = self._membership.avoided(holders, now)
@@ -229,7 +233,7 @@
         return (
             stmt.deadline - now > SHARE_WAIT
             and bool(self._without_share(stmt, now))
-            and self._budget.may_retry()
+            and self._budget.spend_retry()
         )
 
     def _try_again(
@@ -246,7 +250,7 @@
 
     def _may_go_on(self, outcome: Outcome) -> bool:
         # Where nothing ran another try multiplies no work.
-        return isinstance(outcome, NotRun) or self._budget.may_retry()
+        return isinstance(outcome, NotRun) or self._budget.spend_retry()
 
     def _note_share(self, stmt: Statement, vm: Vm, outcome: Outcome) -> None:
         if isinstance(outcome, NotRun):
@@ -273,7 +277,7 @@
 
     def _forward_step(self, stmt: Statement, done: OnOutcome) -> None:
         handle = self._codec.decode_transaction(stmt.transaction)
-        if isinstance(handle, BadToken):
+        if isinstance(handle, InvalidToken):
             done(NotRun(reason=Reason.NO_TRANSACTION, message=handle.message))
             return
         vm = self._board.vms.get(handle.vm)
@@ -331,7 +335,7 @@
     A BEGIN whose answer was lost leaves a transaction whose handle nobody
     has: it can only be rolled back.
     """
-    return stmt.step is Step.BEGIN or not stmt.write
+    return stmt.step is StepKind.BEGIN or not stmt.write
 
 
 def _to_primary(stmt: Statement, outcome: NotRun) -> bool:
@@ -347,19 +351,19 @@
 def _lost(stmt: Statement, lost: PeerLost) -> Outcome:
     """Say what is known when the holder's answer did not come."""
     match stmt.step:
-        case Step.STATEMENT | Step.ROLLBACK:
+        case StepKind.STATEMENT | StepKind.ROLLBACK:
             # The caller still has the old handle. With that one nothing of
             # the transaction can be committed any more.
             return NotRun(
                 reason=Reason.TRANSACTION_LOST, retry_after_ms=RETRY_SOON_MS
             )
-        case Step.COMMIT:
+        case StepKind.COMMIT:
             # Also when this try was not sent: an earlier one, sent through
             # an entry that has died since, may have committed.
             return Unknown(
                 reason=Reason.TRANSACTION_LOST, retry_after_ms=RETRY_SOON_MS
             )
-        case Step.BEGIN:
+        case StepKind.BEGIN:
             return NotRun(
                 reason=Reason.HOLDER_LOST, retry_after_ms=RETRY_SOON_MS
             )
--- a/bamboospring/holder.py
+++ b/bamboospring/holder.py
@@ -29,7 +29,7 @@
 from bamboospring.retry_budget import RetryBudget
 from bamboospring.statement_log import log_outcome
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 from bamboospring.tokens import TokenCodec
 from bamboospring.transaction_runner import TransactionRunner
 from bamboospring.watcher import Watcher
@@ -59,7 +59,7 @@
         pools: Pools,
         watcher: Watcher,
         codec: TokenCodec,
-        transaction_idle: float,
+        transaction_idle_timeout: float,
         budget: RetryBudget | None = None,
     ) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
         self._budget = budget or RetryBudget()
         exchange = Exchange(reactor=reactor)
         self._flights = Flights()
-        watcher.still_needed = self.has_work
+        watcher.still_needed = self.has_in_flight_work
         self.transactions = TransactionRunner(
             reactor=reactor,
             vm=board.me.name,
@@ -81,7 +81,7 @@
             flights=self._flights,
             codec=codec,
             draw_number=lambda: secrets.randbits(NUMBER_BITS),
-            idle_seconds=transaction_idle,
+            idle_seconds=transaction_idle_timeout,
         )
         self.writes = WriteRunner(
             reactor=reactor,
@@ -99,16 +99,16 @@
             pools=pools,
             exchange=exchange,
             confirmer=Confirmer(reactor=reactor, board=board),
-            may_retry=self._budget.may_retry,
+            may_retry=self._budget.spend_retry,
             doubt=self._doubt,
         )
 
     @property
-    def busy(self) -> int:
+    def in_flight_count(self) -> int:
         """Return how much a graceful shutdown still has to wait for."""
         return self._running + len(self.transactions.table)
 
-    def has_work(self, group: str) -> bool:
+    def has_in_flight_work(self, group: str) -> bool:
         """Tell whether a write or transaction of a group is under way."""
         return self._flights.has(group) or any(
             self.transactions.table.of_group(group)
@@ -123,7 +123,11 @@
             log_outcome("ran", stmt, outcome)
             done(outcome)
 
-        if stmt.step in (Step.STATEMENT, Step.COMMIT, Step.ROLLBACK):
+        if stmt.step in (
+            StepKind.STATEMENT,
+            StepKind.COMMIT,
+            StepKind.ROLLBACK,
+        ):
             # Whoever has the transaction runs its steps, also after the
             # group has got other holders.
             self.transactions.run(stmt, finished)
@@ -135,14 +139,14 @@
             self._run_new(stmt, finished)
 
     def _run_new(self, stmt: Statement, done: OnOutcome) -> None:
-        self._budget.first_try()
+        self._budget.record_first_attempt()
         group = self._board.groups.get(stmt.group)
         if self._board.starting:
             done(_not_here(Reason.NOT_HOLDER))
         elif group is None:
             # The entry knew the group, so the record is on its way.
             done(_not_here(Reason.NOT_HOLDER))
-        elif stmt.write or stmt.step is Step.BEGIN:
+        elif stmt.write or stmt.step is StepKind.BEGIN:
             self.writes.run(stmt, group, done)
         else:
             self.reads.run(stmt, group, done)
--- a/bamboospring/platform/target_lines.py
+++ b/bamboospring/platform/target_lines.py
@@ -362,4 +362,4 @@
 
 def _open_failed(reply: TargetReply) -> OpenFailed:
     code = reply.message.partition(" ")[0]
-    return OpenFailed(full=code == "MAXCONN", gone=code == "WRONGHOST")
+    return OpenFailed(full=code == "MAXCONN", wrong_target=code == "WRONGHOST")
--- a/bamboospring/platform_client.py
+++ b/bamboospring/platform_client.py
@@ -24,7 +24,7 @@
 
 import orjson
 
-from bamboospring.answer_times import AnswerTimes
+from bamboospring.adaptive_timeout import AdaptiveTimeout
 from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
 from bamboospring.http_client import HttpLost
@@ -205,7 +205,7 @@
         self._timing = timing
         self._chance = chance
         self._lanes: dict[str, _Lane] = {}
-        self._times = AnswerTimes(least=timing.least_timeout)
+        self._times = AdaptiveTimeout(min_timeout=timing.least_timeout)
         # The store's newest era: it rises when the store has come back from
         # an older copy. `on_return` is called then. It was back at
         # `returned_at` at the latest; None: as far as is known it never was
@@ -506,7 +506,7 @@
         def send() -> None:
             nonlocal sent_at
             sent_at = self._reactor.now()
-            limit = most if unhurried else self._times.limit(most)
+            limit = most if unhurried else self._times.timeout(most)
             counts.calls += 1
             header = self._dialect.header(_counted_as(purpose))
             lane.client.request(
@@ -555,9 +555,9 @@
     ) -> None:
         match answer:
             case HttpAnswer():
-                self._times.answered(seconds)
+                self._times.record_answer(seconds)
             case HttpLost(reason=reason) if reason == TIMED_OUT:
-                self._times.timed_out()
+                self._times.record_timeout()
 
     def _send_next(self, lane: _Lane) -> None:
         """Send what waits, or refuse all of it while the lane backs off."""
--- a/bamboospring/pool.py
+++ b/bamboospring/pool.py
@@ -22,23 +22,23 @@
 from typing import Generic
 
 from bamboospring.admission import Admission
-from bamboospring.admission import Refused
-from bamboospring.admission import Run
+from bamboospring.admission import SlotGranted
+from bamboospring.admission import SlotQueued
+from bamboospring.admission import SlotRefused
 from bamboospring.admission import Ticket
 from bamboospring.admission import Verdict
-from bamboospring.admission import Wait
 from bamboospring.blackboard import Target
 from bamboospring.breaker import Breaker
 from bamboospring.breaker import BreakerTiming
 from bamboospring.concurrency_limit import ConcurrencyLimit
-from bamboospring.connections import Connections
 from bamboospring.connections import ConnectionTiming
+from bamboospring.connections import ConnectionTracker
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Timer
-from bamboospring.shares import Units
+from bamboospring.shares import TargetCapacity
 from bamboospring.target_link import Dialer
 from bamboospring.target_link import Health
 from bamboospring.target_link import LinkT
@@ -46,10 +46,10 @@
 from bamboospring.target_link import OpenFailed
 
 __all__ = [
-    "Asked",
-    "Leased",
-    "MakeDialer",
-    "Merit",
+    "PendingAcquire",
+    "LeasedConnection",
+    "DialerFactory",
+    "LinkScore",
     "OnReady",
     "Pool",
     "PoolCounters",
@@ -67,7 +67,7 @@
 class PoolTiming:
     """Times of all pools, in seconds."""
 
-    tick: float = 0.25
+    tick_interval: float = 0.25
     connect_timeout: float = CONNECT_TIMEOUT
     connections: ConnectionTiming = field(default_factory=ConnectionTiming)
     breaker: BreakerTiming = field(default_factory=BreakerTiming)
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Leased(Generic[LinkT]):
+class LeasedConnection(Generic[LinkT]):
     """A statement connection in the hands of one statement.
 
     `slot` and `gate` are the tickets that it holds, `heard_at` is when the
@@ -97,29 +97,29 @@
 
     target: Target
     conn: LinkT
-    heard_at: float = 0.0
-    used_at: float = 0.0
+    last_response_at: float = 0.0
+    last_used_at: float = 0.0
     leased_at: float = 0.0
     slot: Ticket | None = None
     gate: Ticket | None = None
     silent: bool = False
-    number: int = 0
+    connection_id: int = 0
     team: str = ""
 
 
-OnReady = Callable[[Leased[LinkT] | NotRun | Overloaded], None]
+OnReady = Callable[[LeasedConnection[LinkT] | NotRun | Overloaded], None]
 # How well a connection suits a statement; the highest is taken.
-Merit = Callable[[LinkT], int]
+LinkScore = Callable[[LinkT], int]
 
 
-MakeDialer = Callable[[Target, Callable[[list[int]], None]], Dialer[LinkT]]
+DialerFactory = Callable[[Target, Callable[[list[int]], None]], Dialer[LinkT]]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Asked:
+class PendingAcquire:
     """What was asked of a pool; `withdraw` forgets it while it waits."""
 
-    withdraw: Callable[[], None]
+    cancel: Callable[[], None]
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -131,11 +131,11 @@
     on_ready: OnReady[LinkT]
     team: str = ""
     urgency: int = 0
-    merit: Merit[LinkT] | None = None
+    merit: LinkScore[LinkT] | None = None
     gate: Ticket | None = None
     slot: Ticket | None = None
     ticket: Ticket | None = None
-    leased: Leased[LinkT] | None = None
+    leased: LeasedConnection[LinkT] | None = None
     timer: Timer | None = None
 
 
@@ -147,10 +147,10 @@
         *,
         reactor: Reactor,
         target: Target,
-        make_dialer: MakeDialer[LinkT],
+        make_dialer: DialerFactory[LinkT],
         queue_limit: int,
         timing: PoolTiming,
-        chance: Callable[[], float],
+        random_float: Callable[[], float],
     ) -> None:
         self.target = target
         self.counters = PoolCounters()
@@ -163,27 +163,27 @@
         self.refused_since: float | None = None
         self._reactor = reactor
         self._timing = timing
-        self._chance = chance
+        self._chance = random_float
         self._dialer = make_dialer(target, self._on_ended)
-        self._share = Units()
-        self._limit = ConcurrencyLimit(most=1)
+        self._share = TargetCapacity()
+        self._limit = ConcurrencyLimit(maximum=1)
         self._places = ConcurrencyLimit(
-            most=1, forgotten_after=PLACES_FORGOTTEN_AFTER
+            maximum=1, forgotten_after=PLACES_FORGOTTEN_AFTER
         )
         self._slots = Admission(slots=0, queue_limit=queue_limit)
         self._gate = Admission(slots=0, queue_limit=queue_limit)
-        self._connections = Connections[Leased[LinkT]](
+        self._connections = ConnectionTracker[LeasedConnection[LinkT]](
             timing=timing.connections
         )
         self._needing: deque[_Asking[LinkT]] = deque()
         self._opening_for: Counter[str] = Counter()
-        self._leased: set[Leased[LinkT]] = set()
-        self._pinned: set[Leased[LinkT]] = set()
+        self._leased: set[LeasedConnection[LinkT]] = set()
+        self._pinned: set[LeasedConnection[LinkT]] = set()
         self._opener: Timer | None = None
         self._silent: set[int] = set()
 
     @property
-    def used(self) -> Units:
+    def used(self) -> TargetCapacity:
         """Return what is in use of the target.
 
         While a transaction is open one slot counts as used, so that its
@@ -192,10 +192,10 @@
         slots = self._slots.running
         if self._pinned and self._slots.slots > 0:
             slots = max(1, slots)
-        return Units(slots=slots, connections=self._connections.total)
+        return TargetCapacity(slots=slots, connections=self._connections.total)
 
     @property
-    def share(self) -> Units:
+    def share(self) -> TargetCapacity:
         """Return what may be used."""
         return self._share
 
@@ -204,19 +204,19 @@
         """Return how many statements wait for a slot."""
         return self._slots.waiting + self._gate.waiting
 
-    def set_share(self, share: Units) -> None:
+    def set_share(self, share: TargetCapacity) -> None:
         """Take a new share; what is idle beyond it is closed at once."""
         self._share = share
-        self._limit.set_most(max(1, share.slots))
-        self._places.set_most(max(1, share.connections))
+        self._limit.set_maximum(max(1, share.slots))
+        self._places.set_maximum(max(1, share.connections))
         self._apply_share()
         self._apply_places()
         self._serve()
 
-    def set_idle(self, seconds: float, *, kept: int) -> None:
+    def set_idle_limits(self, seconds: float, *, max_kept: int) -> None:
         """Let so many connections rest for so long, others not as long."""
-        self._connections.idle_limit = seconds
-        self._connections.idle_kept = kept
+        self._connections.idle_timeout = seconds
+        self._connections.max_kept_idle = max_kept
 
     def acquire(
         self,
@@ -224,11 +224,11 @@
         deadline: float,
         on_ready: OnReady[LinkT],
         *,
-        writes: bool,
+        is_write: bool,
         team: str = "",
         urgency: int = 0,
-        merit: Merit[LinkT] | None = None,
-    ) -> Asked:
+        score: LinkScore[LinkT] | None = None,
+    ) -> PendingAcquire:
         """Call back with a connection, or with why there is none."""
         asking = _Asking[LinkT](
             caller=caller,
@@ -236,19 +236,21 @@
             on_ready=on_ready,
             team=team,
             urgency=urgency,
-            merit=merit,
+            merit=score,
         )
         refusal = self._refusal()
         if refusal is not None:
             self.counters.refused += 1
             on_ready(refusal)
-        elif writes:
+        elif is_write:
             self._submit(self._gate, asking)
         else:
             self._submit(self._slots, asking)
-        return Asked(withdraw=lambda: self._withdraw(asking))
+        return PendingAcquire(cancel=lambda: self._withdraw(asking))
 
-    def release(self, leased: Leased[LinkT], *, healthy: bool) -> None:
+    def release(
+        self, leased: LeasedConnection[LinkT], *, healthy: bool
+    ) -> None:
         """Give a connection back; one in doubt is closed."""
         if leased not in self._leased:
             return
@@ -260,10 +262,10 @@
             self._heard(now)
         if leased.gate is not None:
             seconds = now - leased.leased_at
-            self._gate.finished(leased.gate, seconds)
+            self._gate.release(leased.gate, seconds)
             leased.gate = None
         if healthy and leased.conn.usable:
-            leased.heard_at = leased.used_at = now
+            leased.last_response_at = leased.last_used_at = now
             keep = self._connections.give_back(leased)
             if not keep:
                 leased.conn.close()
@@ -277,19 +279,19 @@
         self._apply_share()
         self._serve()
 
-    def found_slot(self, *, found: bool) -> None:
+    def record_slot_result(self, *, found: bool) -> None:
         """Note whether the target had a slot for a statement.
 
         Whoever shares the target with other processes and queues for many
         callers says so; then as many are sent at once as find slots.
         """
         if found:
-            self._limit.served()
+            self._limit.record_success()
         else:
-            self._limit.refused(self._reactor.now())
+            self._limit.record_refusal(self._reactor.now())
         self._apply_share()
 
-    def park(self, leased: Leased[LinkT]) -> None:
+    def release_slot(self, leased: LeasedConnection[LinkT]) -> None:
         """Keep a transaction's connection and give its slot back."""
         now = self._reactor.now()
         self._pinned.add(leased)
@@ -297,9 +299,9 @@
         self._heard(now)
         self._serve()
 
-    def resume(
+    def reacquire_slot(
         self,
-        leased: Leased[LinkT],
+        leased: LeasedConnection[LinkT],
         caller: str,
         deadline: float,
         on_ready: OnReady[LinkT],
@@ -327,10 +329,10 @@
         for leased in list(self._leased):
             leased.conn.close()
 
-    def _give_up(self, leased: Leased[LinkT]) -> None:
+    def _give_up(self, leased: LeasedConnection[LinkT]) -> None:
         """Close a connection in doubt, at the target as well."""
         leased.conn.close()
-        self._dialer.end(leased.number)
+        self._dialer.end(leased.connection_id)
 
     def _on_ended(self, numbers: list[int]) -> None:
         ended = self._silent.intersection(numbers)
@@ -394,12 +396,12 @@
         for verdict in verdicts:
             asking: _Asking[LinkT] = verdict.ticket.item
             match verdict:
-                case Run(ticket=ticket):
+                case SlotGranted(ticket=ticket):
                     self._stop_timer(asking)
                     self._granted(asking, ticket, admission)
-                case Wait(ticket=ticket):
+                case SlotQueued(ticket=ticket):
                     self._start_timer(asking, ticket, admission)
-                case Refused(outcome=outcome):
+                case SlotRefused(outcome=outcome):
                     self._stop_timer(asking)
                     self._give_gate_back(asking)
                     self.counters.refused += 1
@@ -435,7 +437,7 @@
             return
         ticket = asking.ticket
         for admission in (self._gate, self._slots):
-            if ticket is not None and admission.waits(ticket):
+            if ticket is not None and admission.is_queued(ticket):
                 admission.cancel(ticket)
                 self._give_gate_back(asking)
 
@@ -453,21 +455,21 @@
             asking.timer.cancel()
             asking.timer = None
 
-    def _free_slot(self, leased: Leased[LinkT], now: float) -> None:
+    def _free_slot(self, leased: LeasedConnection[LinkT], now: float) -> None:
         if leased.slot is not None:
-            self._slots.finished(leased.slot, now - leased.leased_at)
+            self._slots.release(leased.slot, now - leased.leased_at)
             leased.slot = None
 
     def _give_gate_back(self, asking: _Asking[LinkT]) -> None:
         if asking.gate is not None:
-            self._gate.finished(asking.gate, self._gate.estimate)
+            self._gate.release(asking.gate, self._gate.estimate)
             asking.gate = None
 
     def _serve(self) -> None:
         if self.waiting:
             now = self._reactor.now()
-            self._take(self._gate.next(now), self._gate)
-            self._take(self._slots.next(now), self._slots)
+            self._take(self._gate.grant_next(now), self._gate)
+            self._take(self._slots.grant_next(now), self._slots)
         if self._needing:
             self._supply()
 
@@ -490,11 +492,11 @@
 
     def _take_idle(
         self, asking: _Asking[LinkT], now: float
-    ) -> Leased[LinkT] | None:
+    ) -> LeasedConnection[LinkT] | None:
         """Return an open connection of the team that asks, if one rests."""
         merit = asking.merit
         while True:
-            leased = self._connections.take(
+            leased = self._connections.lease_idle(
                 now, asking.team, merit and _by_link(merit)
             )
             if leased is None or leased.conn.usable:
@@ -513,11 +515,13 @@
 
     def _give_slot_back(self, asking: _Asking[LinkT]) -> None:
         if asking.slot is not None:
-            self._slots.finished(asking.slot, self._slots.estimate)
+            self._slots.release(asking.slot, self._slots.estimate)
             asking.slot = None
         self._give_gate_back(asking)
 
-    def _hand(self, asking: _Asking[LinkT], leased: Leased[LinkT]) -> None:
+    def _hand(
+        self, asking: _Asking[LinkT], leased: LeasedConnection[LinkT]
+    ) -> None:
         self._stop_timer(asking)
         leased.slot = asking.slot
         if asking.gate is not None:
@@ -531,14 +535,14 @@
         lacking = self._lacking()
         self._make_room(lacking, now)
         missing = len(lacking) + self._connections.opening
-        wait = self._connections.wait_to_open(now, missing)
+        wait = self._connections.open_delay(now, missing)
         if wait is None:
             return
         if wait > 0:
             if self._opener is None:
                 self._opener = self._reactor.call_later(wait, self._open_due)
         elif self.breaker.may_open(now):
-            self._connections.opening_one(now, draw=self._chance())
+            self._connections.record_opening(now, draw=self._chance())
             self._asked(now)
             self._open(lacking[0])
             self._open_or_wait(now)
@@ -605,8 +609,10 @@
         self._heard(now)
         needing = {asking.team for asking in self._needing}
         resting = self._connections.take_oldest_idle(needing)
-        self._connections.target_full(now, place_left=resting is not None)
-        self._places.refused(now)
+        self._connections.record_target_full(
+            now, place_left=resting is not None
+        )
+        self._places.record_refusal(now)
         self._apply_places()
         if resting is not None:
             resting.conn.close()
@@ -625,15 +631,15 @@
         self._heard(now)
         self.refused_since = None
         self.breaker.answered(now)
-        leased = Leased(
+        leased = LeasedConnection(
             target=self.target,
             conn=conn,
-            heard_at=now,
-            used_at=now,
-            number=number,
+            last_response_at=now,
+            last_used_at=now,
+            connection_id=number,
             team=team,
         )
-        if not self._connections.opened(leased):
+        if not self._connections.add_opened(leased):
             conn.close()
         self._apply_share()
         self._serve()
@@ -687,12 +693,12 @@
 
     def _check_idle(self) -> None:
         now = self._reactor.now()
-        for leased in self._connections.expired(now):
+        for leased in self._connections.take_expired(now):
             leased.conn.close()
-        for leased in self._connections.due(now):
+        for leased in self._connections.take_due_for_check(now):
             self._check(leased)
 
-    def _check(self, leased: Leased[LinkT]) -> None:
+    def _check(self, leased: LeasedConnection[LinkT]) -> None:
         if not leased.conn.usable:
             self._connections.lost()
             leased.conn.close()
@@ -701,8 +707,8 @@
 
         def checked(health: Health) -> None:
             if health is Health.ALIVE:
-                leased.heard_at = self._reactor.now()
-                self._heard(leased.heard_at)
+                leased.last_response_at = self._reactor.now()
+                self._heard(leased.last_response_at)
                 if not self._connections.give_back(leased):
                     leased.conn.close()
             else:
@@ -711,16 +717,20 @@
 
         self._dialer.check(leased.conn, timeout, checked)
 
-    def _found_dead(self, leased: Leased[LinkT], *, silent: bool) -> None:
+    def _found_dead(
+        self, leased: LeasedConnection[LinkT], *, silent: bool
+    ) -> None:
         self.counters.dead += 1
         now = self._reactor.now()
         self._connections.lost(silent_at=now if silent else None)
         if silent:
-            self._silent.add(leased.number)
+            self._silent.add(leased.connection_id)
         self._give_up(leased)
         if silent:
             self._suspect()
 
 
-def _by_link(merit: Merit[LinkT]) -> Callable[[Leased[LinkT]], int]:
+def _by_link(
+    merit: LinkScore[LinkT],
+) -> Callable[[LeasedConnection[LinkT]], int]:
     return lambda leased: merit(leased.conn)
--- a/bamboospring/pools.py
+++ b/bamboospring/pools.py
@@ -7,15 +7,15 @@
 from typing import Generic
 
 from bamboospring.blackboard import Target
-from bamboospring.pool import Asked
-from bamboospring.pool import Leased
-from bamboospring.pool import MakeDialer
-from bamboospring.pool import Merit
+from bamboospring.pool import DialerFactory
+from bamboospring.pool import LeasedConnection
+from bamboospring.pool import LinkScore
 from bamboospring.pool import OnReady
+from bamboospring.pool import PendingAcquire
 from bamboospring.pool import Pool
 from bamboospring.pool import PoolTiming
 from bamboospring.reactor import Reactor
-from bamboospring.shares import Units
+from bamboospring.shares import TargetCapacity
 from bamboospring.target_link import LinkT
 
 __all__ = ["Pools"]
@@ -28,25 +28,28 @@
         self,
         *,
         reactor: Reactor,
-        make_dialer: MakeDialer[LinkT],
+        make_dialer: DialerFactory[LinkT],
         queue_limit: int = 256,
         timing: PoolTiming | None = None,
-        chance: Callable[[], float] = random.random,
+        random_float: Callable[[], float] = random.random,
     ) -> None:
         self._reactor = reactor
         self._make_dialer = make_dialer
         self._queue_limit = queue_limit
         self._timing = timing or PoolTiming()
-        self._chance = chance
+        self._chance = random_float
         self._pools: dict[tuple[str, str, int], Pool[LinkT]] = {}
 
     def start(self) -> None:
         """Begin to check pools at each interval."""
         for key, pool in list(self._pools.items()):
             pool.tick()
-            if pool.share == Units() and pool.used == Units():
+            if (
+                pool.share == TargetCapacity()
+                and pool.used == TargetCapacity()
+            ):
                 del self._pools[key]
-        self._reactor.call_later(self._timing.tick, self.start)
+        self._reactor.call_later(self._timing.tick_interval, self.start)
 
     def acquire(
         self,
@@ -55,11 +58,11 @@
         caller: str,
         on_ready: OnReady[LinkT],
         *,
-        writes: bool = False,
+        is_write: bool = False,
         team: str = "",
         urgency: int = 0,
-        merit: Merit[LinkT] | None = None,
-    ) -> Asked:
+        score: LinkScore[LinkT] | None = None,
+    ) -> PendingAcquire:
         """Ask for a connection to a target on behalf of a caller.
 
         `writes` is true for what may wait for a lock at the target; the
@@ -70,30 +73,32 @@
             caller,
             deadline,
             on_ready,
-            writes=writes,
+            is_write=is_write,
             team=team,
             urgency=urgency,
-            merit=merit,
+            score=score,
         )
 
-    def release(self, leased: Leased[LinkT], *, healthy: bool) -> None:
+    def release(
+        self, leased: LeasedConnection[LinkT], *, healthy: bool
+    ) -> None:
         """Give a connection back."""
         self.pool(leased.target).release(leased, healthy=healthy)
 
-    def park(self, leased: Leased[LinkT]) -> None:
+    def release_slot(self, leased: LeasedConnection[LinkT]) -> None:
         """Give a transaction's slot back between its statements."""
-        self.pool(leased.target).park(leased)
+        self.pool(leased.target).release_slot(leased)
 
-    def resume(
+    def reacquire_slot(
         self,
-        leased: Leased[LinkT],
+        leased: LeasedConnection[LinkT],
         deadline: float,
         caller: str,
         on_ready: OnReady,
     ) -> None:
         """Get a slot for a transaction's next statement."""
         pool = self.pool(leased.target)
-        pool.resume(leased, caller, deadline, on_ready)
+        pool.reacquire_slot(leased, caller, deadline, on_ready)
 
     def pool(self, target: Target) -> Pool[LinkT]:
         """Return the pool of a target.
@@ -110,7 +115,7 @@
                 make_dialer=self._make_dialer,
                 queue_limit=self._queue_limit,
                 timing=self._timing,
-                chance=self._chance,
+                random_float=self._chance,
             )
         return found
 
--- a/bamboospring/primary_choice.py
+++ b/bamboospring/primary_choice.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["choose_primary", "log_end"]
 
 
-def log_end(probe: Probe) -> tuple[int, int]:
+def log_end(probe: ProbeResult) -> tuple[int, int]:
     """Return what orders two logs: the later end holds all of the other."""
     return probe.last_term, probe.received
 
 
 def choose_primary(
-    fenced: dict[str, Probe],
+    fenced: dict[str, ProbeResult],
     majority: int,
     preferred: tuple[str, ...],
     *,
--- a/bamboospring/primary_policy.py
+++ b/bamboospring/primary_policy.py
@@ -17,7 +17,7 @@
 from bamboospring.promotion import Order
 from bamboospring.promotion import OrderKind
 from bamboospring.promotion import Plan
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = [
     "GroupView",
@@ -39,7 +39,7 @@
 
     record: GroupRecord
     row: TableRow
-    probes: dict[str, Probe]
+    probes: dict[str, ProbeResult]
     condemned: bool = False
     insist: bool = False
     ordered: str = ""
@@ -118,7 +118,7 @@
     )
 
 
-def _works(probe: Probe, record: GroupRecord) -> bool:
+def _works(probe: ProbeResult, record: GroupRecord) -> bool:
     """Tell whether the recorded primary still has its role and term.
 
     It has not when it lost its data, or a steward stopped it at a term that
@@ -127,7 +127,7 @@
     return probe.role is Role.PRIMARY and probe.term == record.term
 
 
-def _follows(probe: Probe | None, primary: Probe) -> bool:
+def _follows(probe: ProbeResult | None, primary: ProbeResult) -> bool:
     if probe is None:
         return False
     same_term = probe.term == primary.term
@@ -152,7 +152,7 @@
 
 
 def orders_to_rejoin(
-    record: GroupRecord, probes: dict[str, Probe]
+    record: GroupRecord, probes: dict[str, ProbeResult]
 ) -> list[Order]:
     """Return the orders that make stray targets follow the primary.
 
--- a/bamboospring/process.py
+++ b/bamboospring/process.py
@@ -34,8 +34,8 @@
 from bamboospring.status_view import unreadiness
 from bamboospring.tls import Keys
 from bamboospring.tls import secured
+from bamboospring.tokens import SigningKey
 from bamboospring.tokens import TokenCodec
-from bamboospring.tokens import TokenKey
 
 __all__ = ["Process"]
 
@@ -164,7 +164,7 @@
 
     def _take_settings(self, cfg: Settings) -> None:
         self.cfg = cfg
-        self.codec.use(_token_keys(cfg))
+        self.codec.set_keys(_token_keys(cfg))
         logs.configure(level=cfg.logs.level, vm=cfg.vm)
 
     def _send_hand_over(self, vm: Vm, group: str, target: str) -> None:
@@ -175,8 +175,8 @@
         self.peers.send(vm.address, message)
 
 
-def _token_keys(cfg: Settings) -> list[TokenKey]:
+def _token_keys(cfg: Settings) -> list[SigningKey]:
     return [
-        TokenKey(id=key.id, secret=key.secret.encode())
+        SigningKey(id=key.id, secret=key.secret.encode())
         for key in cfg.token_keys
     ]
--- a/bamboospring/promotion.py
+++ b/bamboospring/promotion.py
@@ -37,7 +37,7 @@
 from bamboospring.change_plan import Plan
 from bamboospring.primary_choice import choose_primary
 from bamboospring.primary_choice import log_end
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = [
     "Action",
@@ -76,7 +76,11 @@
         return actions + self._order_all(OrderKind.PROBE, now)
 
     def answered(
-        self, order: Order, accepted: bool, probe: Probe | None, now: float
+        self,
+        order: Order,
+        accepted: bool,
+        probe: ProbeResult | None,
+        now: float,
     ) -> list[Action]:
         """Take in a target's answer; `accepted` is false for a 409."""
         self._sent.pop((order.kind, order.target.name), None)
@@ -193,7 +197,7 @@
         return self._order_all(OrderKind.FENCE, now)
 
     def _stopped(
-        self, name: str, accepted: bool, probe: Probe, now: float
+        self, name: str, accepted: bool, probe: ProbeResult, now: float
     ) -> list[Action]:
         if not accepted or probe.term > self.term:
             return self._end("a target knows a later term", now)
@@ -224,13 +228,13 @@
         return [self._order(OrderKind.PROMOTE, target, now, self.term)]
 
     def _promoted(
-        self, accepted: bool, probe: Probe, now: float
+        self, accepted: bool, probe: ProbeResult, now: float
     ) -> list[Action]:
         if self.phase is not Phase.PROMOTE:
             return []
         if not accepted or probe.role is not Role.PRIMARY:
             return self._end("promotion refused", now)
-        self._start = probe.start
+        self._start = probe.term_start
         self._enter(Phase.RECORD, now)
         return self._put_record() + self._follow_all(now)
 
--- a/bamboospring/reads.py
+++ b/bamboospring/reads.py
@@ -25,7 +25,7 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
 from bamboospring.rendezvous import shard_of
@@ -34,10 +34,10 @@
 from bamboospring.routing import Draws
 from bamboospring.routing import fresh_since
 from bamboospring.routing import READ_WAIT
-from bamboospring.routing import ReadAt
-from bamboospring.routing import ReadNeeds
+from bamboospring.routing import ReadRequirements
 from bamboospring.routing import Refuse
 from bamboospring.routing import satisfies
+from bamboospring.routing import SendRead
 from bamboospring.routing import Wait
 from bamboospring.statements import Position
 from bamboospring.statements import Statement
@@ -120,7 +120,7 @@
         self._rounds = 0
         self._shareless = False
         now = self._began = runner.reactor.now()
-        self._needs = ReadNeeds(
+        self._needs = ReadRequirements(
             token=stmt.token,
             fresh_since=fresh_since(row, stmt.staleness, now),
             wait_until=min(now + READ_WAIT, stmt.deadline),
@@ -146,7 +146,7 @@
             confirmed=runner.confirmer.confirmed(self._group),
         )
         match choice:
-            case ReadAt():
+            case SendRead():
                 self._acquire(choice)
             case Wait():
                 runner.reactor.call_later(choice.seconds, self.choose)
@@ -191,7 +191,7 @@
     def _refuse(self, reason: Reason) -> None:
         self._done(NotRun(reason=reason, retry_after_ms=RETRY_SOON_MS))
 
-    def _acquire(self, choice: ReadAt) -> None:
+    def _acquire(self, choice: SendRead) -> None:
         if self._shareless and not choice.replica and not self._stmt.settle:
             # Another holder has a share of a replica that would do, and the
             # primary's connections are scarce.
@@ -201,8 +201,8 @@
         state.outstanding += 1
         self._tries += 1
 
-        def ready(leased: Leased | NotRun | Overloaded) -> None:
-            if isinstance(leased, Leased):
+        def ready(leased: LeasedConnection | NotRun | Overloaded) -> None:
+            if isinstance(leased, LeasedConnection):
                 self._send(choice, leased)
                 return
             state.outstanding -= 1
@@ -224,7 +224,7 @@
             choice.target, deadline, self._stmt.caller, ready
         )
 
-    def _send(self, choice: ReadAt, leased: Leased) -> None:
+    def _send(self, choice: SendRead, leased: LeasedConnection) -> None:
         state = self._group.state(choice.target.name)
 
         def answered(answer: TargetAnswer | HttpLost) -> None:
@@ -245,7 +245,7 @@
             on_answer=answered,
         )
 
-    def _time_for(self, choice: ReadAt) -> float:
+    def _time_for(self, choice: SendRead) -> float:
         # A replica that has gone silent must leave time for another try.
         # With little time left another try would not help either.
         left = self._left()
@@ -253,7 +253,7 @@
             return max(left / 2, SHORT_TIME)
         return left
 
-    def _answered(self, choice: ReadAt, answer: TargetAnswer) -> None:
+    def _answered(self, choice: SendRead, answer: TargetAnswer) -> None:
         self._learn(choice, answer)
         match answer.outcome:
             case "ok" if self._covers(answer):
@@ -269,14 +269,16 @@
             case _:
                 self._done(failed_from(answer))
 
-    def _learn(self, choice: ReadAt, answer: TargetAnswer) -> None:
+    def _learn(self, choice: SendRead, answer: TargetAnswer) -> None:
         """Take from the answer what it says of its target."""
         state = self._group.state(choice.target.name)
         state.leaving = answer.leaving
         if answer.term == state.term:
             state.applied = max(state.applied, answer.applied)
 
-    def _primary_is_behind(self, choice: ReadAt, answer: TargetAnswer) -> bool:
+    def _primary_is_behind(
+        self, choice: SendRead, answer: TargetAnswer
+    ) -> bool:
         """Tell whether the primary lacks what the token claims.
 
         A target that is behind in its term says the same word.
@@ -292,7 +294,7 @@
         record = self._group.record
         return satisfies(record, self._stmt.token, position)
 
-    def _too_old(self, choice: ReadAt) -> None:
+    def _too_old(self, choice: SendRead) -> None:
         if choice.replica:
             refusal = NotRun(reason=Reason.STALE, retry_after_ms=RETRY_SOON_MS)
             self._elsewhere(choice, refusal)
@@ -302,7 +304,7 @@
 
     def _elsewhere(
         self,
-        choice: ReadAt,
+        choice: SendRead,
         outcome: NotRun | Overloaded | Unknown,
         *,
         free: bool = False,
--- a/bamboospring/records.py
+++ b/bamboospring/records.py
@@ -17,7 +17,7 @@
 from bamboospring.blackboard import Target
 from bamboospring.blackboard import TermStart
 from bamboospring.blackboard import Vm
-from bamboospring.commit import majorities_meet
+from bamboospring.commit import majorities_overlap
 
 __all__ = [
     "decode_group",
@@ -46,7 +46,7 @@
             primary=str(value.get("primary", "")),
             starts=tuple(_decode_start(s) for s in value.get("starts", ())),
             settled=settled,
-            torn=bool(settled) and not majorities_meet(settled, names),
+            torn=bool(settled) and not majorities_overlap(settled, names),
             version=version,
         )
     except MALFORMED:
--- a/bamboospring/retry_budget.py
+++ b/bamboospring/retry_budget.py
@@ -28,11 +28,11 @@
     def __post_init__(self) -> None:
         self._saved = self.reserve
 
-    def first_try(self) -> None:
+    def record_first_attempt(self) -> None:
         """Note a statement that is sent for the first time."""
         self._saved = min(self.reserve, self._saved + self.percent / 100)
 
-    def may_retry(self) -> bool:
+    def spend_retry(self) -> bool:
         """Take one retry from the budget; False if there is none left."""
         if self._saved < 1.0:
             return False
--- a/bamboospring/routing.py
+++ b/bamboospring/routing.py
@@ -21,22 +21,22 @@
 from bamboospring.blackboard import TableRow
 from bamboospring.blackboard import Target
 from bamboospring.blackboard import TargetState
-from bamboospring.commit import majority_of
+from bamboospring.commit import majority_size
 from bamboospring.outcomes import Reason
 from bamboospring.statements import Position
 
 __all__ = [
     "Confirm",
     "Draws",
-    "ReadAt",
+    "SendRead",
     "ReadChoice",
-    "ReadNeeds",
+    "ReadRequirements",
     "Refuse",
     "Wait",
-    "WriteAt",
+    "SendWrite",
     "choose_read",
     "choose_write",
-    "confirmed_at",
+    "majority_confirmed_at",
     "find_target",
     "fresh_since",
     "is_silent",
@@ -46,7 +46,7 @@
 ]
 
 # A target that has not answered for this long is passed over.
-SILENT_AFTER = 1.5
+MAX_REPORT_AGE = 1.5
 # Targets that have not answered for this long, twice the longest time that a
 # watched target has to answer in, are out of this process's reach.
 LOST_AFTER = 2.0
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class ReadNeeds:
+class ReadRequirements:
     """What a read asks for.
 
     `fresh_since` is the instant whose acknowledged writes must all be seen,
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ReadAt:
+class SendRead:
     """Send the read to this target at this term; it must be at `min_index`."""
 
     target: Target
@@ -120,20 +120,20 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class WriteAt:
+class SendWrite:
     """Send the write to this target at this term."""
 
     target: Target
     term: int
 
 
-ReadChoice = ReadAt | Wait | Confirm | Refuse
+ReadChoice = SendRead | Wait | Confirm | Refuse
 
 
 def choose_read(
     group: Group,
     row: TableRow,
-    needs: ReadNeeds,
+    requirements: ReadRequirements,
     *,
     zone: str,
     now: float,
@@ -146,27 +146,27 @@
     purpose and stood by the group's term.
     """
     record = group.record
-    if needs.token.term > record.term:
+    if requirements.token.term > record.term:
         return Refuse(reason=Reason.TOKEN_AHEAD)
     view = _View(
         group=group,
         row=row,
-        needs=needs,
-        index=required_index(record, needs.token),
+        needs=requirements,
+        index=required_index(record, requirements.token),
         now=now,
-        confirmed=max(confirmed, confirmed_at(group)),
+        confirmed=max(confirmed, majority_confirmed_at(group)),
     )
     for role in (Role.REPLICA, Role.FENCED):
         found = [t for t in record.targets if view.may_serve(t, role)]
         if found:
             best = _pick(group, row, found, zone, draws)
             return view.read_at(best, replica=True)
-    if now < needs.wait_until and view.replica_is_near():
+    if now < requirements.wait_until and view.replica_is_near():
         return Wait(seconds=RECHECK)
     return _choose_primary(view)
 
 
-def choose_write(group: Group, row: TableRow, now: float) -> WriteAt | None:
+def choose_write(group: Group, row: TableRow, now: float) -> SendWrite | None:
     """Return the primary if it is known to be one at the group's term.
 
     None means that the write has to wait: sent to a target that is silent
@@ -179,9 +179,9 @@
     state = group.state(target.name)
     if state.role is not Role.PRIMARY or state.term != record.term:
         return None
-    if state.leaving or now - state.seen_at > SILENT_AFTER:
+    if state.leaving or now - state.seen_at > MAX_REPORT_AGE:
         return None
-    return WriteAt(target=target, term=record.term)
+    return SendWrite(target=target, term=record.term)
 
 
 def _majority_has_left(group: Group) -> bool:
@@ -197,7 +197,7 @@
         group.state(target.name).term > record.term
         for target in record.targets
     )
-    return left >= majority_of(len(record.targets))
+    return left >= majority_size(len(record.targets))
 
 
 def is_silent(group: Group, target: str, now: float) -> bool:
@@ -216,7 +216,7 @@
     targets = group.record.targets
     lost = sum(is_silent(group, target.name, now) for target in targets)
     heard = len(targets) - lost
-    return heard >= majority_of(len(targets)) and not group.record.torn
+    return heard >= majority_size(len(targets)) and not group.record.torn
 
 
 def required_index(record: GroupRecord, token: Position) -> int:
@@ -255,7 +255,7 @@
     return now - min(bounds) if bounds else None
 
 
-def confirmed_at(group: Group) -> float:
+def majority_confirmed_at(group: Group) -> float:
     """Return the newest instant at which a majority was at the group's term.
 
     Another primary needs a majority at a higher term first, and a majority
@@ -271,7 +271,7 @@
         ),
         reverse=True,
     )
-    needed = majority_of(len(record.targets))
+    needed = majority_size(len(record.targets))
     return asked[needed - 1] if len(asked) >= needed else -1e9
 
 
@@ -289,7 +289,7 @@
 
     group: Group
     row: TableRow
-    needs: ReadNeeds
+    needs: ReadRequirements
     index: int
     now: float
     confirmed: float
@@ -318,8 +318,8 @@
                 return True
         return False
 
-    def read_at(self, target: Target, *, replica: bool) -> ReadAt:
-        return ReadAt(
+    def read_at(self, target: Target, *, replica: bool) -> SendRead:
+        return SendRead(
             target=target,
             term=self.group.state(target.name).term,
             min_index=self.index,
@@ -339,7 +339,7 @@
             and target.name not in self.needs.excluded
             and target.name not in self.row.leaving_targets
             and not state.leaving
-            and self.now - state.seen_at <= SILENT_AFTER
+            and self.now - state.seen_at <= MAX_REPORT_AGE
             and _weight(self.row, target) > 0
         )
 
@@ -358,7 +358,7 @@
     state = group.state(target.name)
     if state.role is not Role.PRIMARY or state.term != group.record.term:
         return Refuse(reason=Reason.NO_PRIMARY)
-    if view.now - state.seen_at > SILENT_AFTER:
+    if view.now - state.seen_at > MAX_REPORT_AGE:
         return Refuse(reason=Reason.NO_PRIMARY)
     since = view.needs.fresh_since
     if since is not None and view.confirmed < since:
--- a/bamboospring/server.py
+++ b/bamboospring/server.py
@@ -14,7 +14,7 @@
 from bamboospring.lease import LeaseTiming
 from bamboospring.platform_client import CallTiming
 from bamboospring.platform_client import PlatformClient
-from bamboospring.pool import MakeDialer
+from bamboospring.pool import DialerFactory
 from bamboospring.pool import PoolTiming
 from bamboospring.pools import Pools
 from bamboospring.process import Process
@@ -72,7 +72,7 @@
             pools=self.pools,
             watcher=self.watcher,
             codec=self.codec,
-            transaction_idle=cfg.timing.transaction_idle_ms / 1000,
+            transaction_idle_timeout=cfg.timing.transaction_idle_ms / 1000,
             budget=RetryBudget(percent=cfg.limits.retry_percent),
         ).register(self)
         StatementServer(
@@ -96,12 +96,12 @@
             peers=self.peers,
             pools=self.pools,
             timing=ShareTiming(
-                grace=cfg.timing.share_grace_ms / 1000,
-                isolation=cfg.timing.share_isolation_ms / 1000,
+                grace_period=cfg.timing.share_grace_ms / 1000,
+                isolation_timeout=cfg.timing.share_isolation_ms / 1000,
                 single_vm=cfg.single_vm,
             ),
         ).register(self)
-        self.facts.sync.on_heard.append(self.shares.heard)
+        self.facts.sync.on_heard.append(self.shares.record_contact)
         self.entry_processes = EntryProcesses(
             board=self.board, peers=self.peers, now=self.reactor.now
         )
@@ -122,7 +122,7 @@
         self.watcher.on_verdict = self.steward.report
         self.watcher.on_hint = self.steward.hint
         self.drain = self._make_drain()
-        self.drain.wait_for("statements", lambda: self.holder.busy)
+        self.drain.wait_for("statements", lambda: self.holder.in_flight_count)
         self.drain.wait_for("leases", self.steward.leases.count_held)
         self.table_pages = TablePages(
             board=self.board,
@@ -161,7 +161,7 @@
 
 def _dial_over_http(
     cfg: Settings, reactor: Reactor
-) -> MakeDialer[HttpConnection]:
+) -> DialerFactory[HttpConnection]:
     # After the holder itself has given the transaction up.
     idle = cfg.timing.transaction_idle_ms / 1000 + 5
 
@@ -183,8 +183,8 @@
     return PoolTiming(
         connect_timeout=cfg.timing.connect_timeout_ms / 1000,
         connections=ConnectionTiming(
-            pace=cfg.timing.connect_interval_ms / 1000,
-            heartbeat=cfg.timing.target_heartbeat_ms / 1000,
+            open_interval=cfg.timing.connect_interval_ms / 1000,
+            heartbeat_interval=cfg.timing.target_heartbeat_ms / 1000,
             heartbeat_timeout=cfg.timing.target_heartbeat_timeout_ms / 1000,
         ),
     )
--- a/bamboospring/server_metrics.py
+++ b/bamboospring/server_metrics.py
@@ -62,7 +62,7 @@
     metrics = server.metrics
     metrics.watch(
         "bamboospring.statements.running",
-        lambda: server.holder.busy,
+        lambda: server.holder.in_flight_count,
         description="Statements running here as a holder.",
     )
     metrics.watch(
--- a/bamboospring/sessions/direct_attempt.py
+++ b/bamboospring/sessions/direct_attempt.py
@@ -9,8 +9,8 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.pool import Asked
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
+from bamboospring.pool import PendingAcquire
 from bamboospring.sessions.link_setup import link_fit
 from bamboospring.sessions.link_setup import setup_orders
 from bamboospring.sessions.ports import BeginWork
@@ -43,8 +43,8 @@
     choice: SendTo
     sent: bool = False
     sent_at: float = 0.0
-    leased: Leased[SessionLink] | None = None
-    asked: Asked | None = None
+    leased: LeasedConnection[SessionLink] | None = None
+    asked: PendingAcquire | None = None
 
     @property
     def target(self) -> str:
@@ -61,22 +61,22 @@
             run.deadline,
             run.session.queue_key,
             self._ready,
-            writes=job.writes or tx_writes,
+            is_write=job.writes or tx_writes,
             team=run.session.identity.team,
             urgency=job.route.urgency,
-            merit=lambda link: link_fit(link, values, job.shape),
+            score=lambda link: link_fit(link, values, job.shape),
         )
 
     def withdraw(self) -> None:
         """Leave the queue, if that is where the try still is."""
         if self.asked is not None and self.leased is None:
-            self.asked.withdraw()
+            self.asked.cancel()
 
     def _ready(
-        self, leased: Leased[SessionLink] | NotRun | Overloaded
+        self, leased: LeasedConnection[SessionLink] | NotRun | Overloaded
     ) -> None:
         run = self.run
-        if not isinstance(leased, Leased):
+        if not isinstance(leased, LeasedConnection):
             full = leased.reason is Reason.TARGET_CONNECTIONS
             run.failed(self, leased, again=True, free=True, counted=not full)
             return
@@ -202,7 +202,7 @@
             return
         run.tx.leased = self.leased
         run.tx.at_replica = self.choice.at_replica
-        run.runner.pools.park(self.leased)
+        run.runner.pools.release_slot(self.leased)
 
     def _refused(self, reply: TargetReply) -> None:
         """Judge a refusal of the statement, or of what came before it."""
--- a/bamboospring/sessions/holder_server.py
+++ b/bamboospring/sessions/holder_server.py
@@ -13,8 +13,8 @@
 from bamboospring.peers import envelope
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
-from bamboospring.pool import Asked
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
+from bamboospring.pool import PendingAcquire
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.forward_messages import decode_statement
@@ -137,8 +137,8 @@
     on_done: Callable[[ForwardResult], None]
     deadline: float = 0.0
     patient_until: float = 0.0
-    leased: Leased[SessionLink] | None = None
-    asked: Asked | None = None
+    leased: LeasedConnection[SessionLink] | None = None
+    asked: PendingAcquire | None = None
     over: bool = False
 
     def start(self) -> None:
@@ -156,10 +156,10 @@
             self.deadline,
             statement.caller,
             self._ready,
-            writes=statement.writes,
+            is_write=statement.writes,
             team=statement.team,
             urgency=statement.urgency,
-            merit=lambda link: link_fit(
+            score=lambda link: link_fit(
                 link, statement.values, statement.shape
             ),
         )
@@ -167,13 +167,13 @@
     def cancel(self) -> None:
         """Give up the place in the queue; what runs goes on to its end."""
         if self.leased is None and self.asked is not None:
-            self.asked.withdraw()
+            self.asked.cancel()
             self._finish(NotRun(reason=Reason.CALLER_GONE))
 
     def _ready(
-        self, leased: Leased[SessionLink] | NotRun | Overloaded
+        self, leased: LeasedConnection[SessionLink] | NotRun | Overloaded
     ) -> None:
-        if not isinstance(leased, Leased):
+        if not isinstance(leased, LeasedConnection):
             self._finish(leased)
             return
         self.leased = leased
@@ -247,7 +247,7 @@
             self.leased.conn.shapes.clear()
         busy = reply.refusal is Refusal.BUSY
         pool = self.server.pools.pool(self.news.target)
-        pool.found_slot(found=not busy)
+        pool.record_slot_result(found=not busy)
         self._release(healthy=True)
         now = self.server.reactor.now()
         if busy and now + BUSY_PAUSE < self.patient_until:
--- a/bamboospring/sessions/node.py
+++ b/bamboospring/sessions/node.py
@@ -72,16 +72,16 @@
 # How long connections to targets rest before they are checked and closed, in
 # seconds: a new one takes a slot of the target, a check a short exchange.
 LINK_TIMING = ConnectionTiming(
-    pace=0.005,
-    heartbeat=2.5,
+    open_interval=0.005,
+    heartbeat_interval=2.5,
     heartbeat_timeout=0.5,
-    idle=1.5,
-    idle_scarce=0.3,
-    idle_spare=0.1,
+    idle_timeout=1.5,
+    scarce_idle_timeout=0.3,
+    spare_idle_timeout=0.1,
 )
 # A target that is back is tried within half a second. Trials are made only for
 # statements, so they are few where many VMs share few statements.
-LINK_BREAKER = BreakerTiming(longest_pause=0.3)
+LINK_BREAKER = BreakerTiming(max_open_duration=0.3)
 # The head start of each better candidate for a free lease, in seconds. Two
 # that try at once cost one refused call; a long row of head starts costs
 # every group the time in which nobody leads.
--- a/bamboospring/sessions/runner.py
+++ b/bamboospring/sessions/runner.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from bamboospring.peers import Peers
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
 from bamboospring.retry_budget import RetryBudget
@@ -162,7 +162,7 @@
         """Note that a session's statement waits for nothing any more."""
         self._waiting.pop(session, None)
 
-    def give_back(self, leased: Leased[SessionLink]) -> None:
+    def give_back(self, leased: LeasedConnection[SessionLink]) -> None:
         """Return a connection, first ending the transaction open on it."""
         link = leased.conn
         if not link.usable:
--- a/bamboospring/sessions/session.py
+++ b/bamboospring/sessions/session.py
@@ -17,7 +17,7 @@
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Timer
 from bamboospring.sessions.access import Identity
@@ -70,7 +70,7 @@
     route: Route
     read_only: bool
     began_at: float
-    leased: Leased | None = None
+    leased: LeasedConnection | None = None
     at_replica: bool = False
     has_written: bool = False
     lost_reason: Reason | None = None
--- a/bamboospring/sessions/statement_execution.py
+++ b/bamboospring/sessions/statement_execution.py
@@ -115,7 +115,7 @@
             self.runner.quotas.give_back(result)
             return
         self._admitted = result
-        self.runner.budget.first_try()
+        self.runner.budget.record_first_attempt()
         self.next_try()
 
     def withdraw(self) -> None:
@@ -239,7 +239,7 @@
         self._hedge = None
         if self.over or self._tries >= MAX_TRIES:
             return
-        if not self.runner.budget.may_retry():
+        if not self.runner.budget.spend_retry():
             return
         self.story.hedged = True
         # A holder may be what is silent, so the second try passes by it.
@@ -290,7 +290,7 @@
         over = self._tries >= (URGENT_TRIES if self.urgent else MAX_TRIES)
         if not again or over or self._caller_gone or self.left() <= 0:
             self._finish(outcome, None)
-        elif free or self.runner.budget.may_retry():
+        elif free or self.runner.budget.spend_retry():
             self.next_try()
         else:
             self._finish(outcome, None)
--- a/bamboospring/sessions/target_control.py
+++ b/bamboospring/sessions/target_control.py
@@ -9,7 +9,7 @@
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.model import SessionGroup
@@ -85,9 +85,9 @@
         began = self._reactor.now()
 
         def ready(
-            leased: Leased[SessionLink] | NotRun | Overloaded,
+            leased: LeasedConnection[SessionLink] | NotRun | Overloaded,
         ) -> None:
-            if not isinstance(leased, Leased):
+            if not isinstance(leased, LeasedConnection):
                 on_report(self._no_report(target, leased.reason))
                 return
             sent_at = self._reactor.now()
@@ -97,7 +97,7 @@
             )
 
         def done(
-            leased: Leased[SessionLink],
+            leased: LeasedConnection[SessionLink],
             sent_at: float,
             result: list[TargetReply] | LinkLost,
         ) -> None:
--- a/bamboospring/sessions/target_keeper.py
+++ b/bamboospring/sessions/target_keeper.py
@@ -19,7 +19,7 @@
 from bamboospring.sessions.ports import SessionLink
 from bamboospring.sessions.zone_holders import MIN_CONNECTIONS
 from bamboospring.sessions.zone_holders import ZoneHolders
-from bamboospring.shares import Units
+from bamboospring.shares import TargetCapacity
 
 __all__ = ["TargetKeeper", "idle_time"]
 
@@ -225,7 +225,7 @@
     def _drop(self, group: SessionGroup, news: ListedTarget) -> None:
         group.targets.pop(news.target.name, None)
         group.observed_targets.pop(news.target.name, None)
-        self._pools.pool(news.target).set_share(Units())
+        self._pools.pool(news.target).set_share(TargetCapacity())
 
     def _bound(self, news: ListedTarget) -> None:
         catalog = self._board.catalog
@@ -242,8 +242,8 @@
             bound = max(bound, news.target.slots)
             connections = max(bound, int(limits.max_connections * HOLDER_PART))
             idle, kept = HOLDER_IDLE, connections
-        share = Units(slots=bound, connections=connections)
+        share = TargetCapacity(slots=bound, connections=connections)
         pool = self._pools.pool(news.target)
         if pool.share != share:
             pool.set_share(share)
-        pool.set_idle(idle, kept=kept)
+        pool.set_idle_limits(idle, max_kept=kept)
--- a/bamboospring/sessions/transaction_step.py
+++ b/bamboospring/sessions/transaction_step.py
@@ -8,7 +8,7 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.sessions.link_setup import setup_orders
 from bamboospring.sessions.ports import LinkLost
 from bamboospring.sessions.ports import Refusal
@@ -58,7 +58,7 @@
         self._job = job
         self._tx = tx
         self._on = on
-        self._leased: Leased[SessionLink] = tx.leased
+        self._leased: LeasedConnection[SessionLink] = tx.leased
         self._commits = job.text is None and job.shape is None
         self._story = StatementTrace(
             session=session, job=job, transaction=True
@@ -67,7 +67,7 @@
 
     def start(self) -> None:
         """Get the connection's slot again."""
-        self._runner.pools.resume(
+        self._runner.pools.reacquire_slot(
             self._leased,
             self._deadline(),
             self._session.queue_key,
@@ -81,9 +81,9 @@
         return self._deadline() - self._runner.reactor.now()
 
     def _ready(
-        self, leased: Leased[SessionLink] | NotRun | Overloaded
+        self, leased: LeasedConnection[SessionLink] | NotRun | Overloaded
     ) -> None:
-        if not isinstance(leased, Leased):
+        if not isinstance(leased, LeasedConnection):
             self._drop()
             self._finish(leased, None)
             return
@@ -174,7 +174,7 @@
                 # took effect at the old one; then it is lost.
                 outcome = Unknown(reason=Reason.PRIMARY_CHANGED)
         else:
-            runner.pools.park(self._leased)
+            runner.pools.release_slot(self._leased)
         self._finish(outcome, reply.position)
 
     def _may_ask_again(self, reply: TargetReply) -> bool:
--- a/bamboospring/share_keeper.py
+++ b/bamboospring/share_keeper.py
@@ -28,13 +28,13 @@
 from bamboospring.rendezvous import choose_possible_holders
 from bamboospring.rendezvous import Placement
 from bamboospring.rendezvous import shard_of
-from bamboospring.shares import Ask
 from bamboospring.shares import GroupShares
-from bamboospring.shares import ListWatch
 from bamboospring.shares import Reply
+from bamboospring.shares import ShareRequest
 from bamboospring.shares import ShareTiming
+from bamboospring.shares import TargetCapacity
 from bamboospring.shares import TargetLimit
-from bamboospring.shares import Units
+from bamboospring.shares import VmListMonitor
 
 __all__ = ["ShareKeeper", "hash_names", "limits_of", "possible_holders"]
 
@@ -56,7 +56,7 @@
     return tuple(
         TargetLimit(
             target=target.name,
-            units=Units(
+            units=TargetCapacity(
                 slots=_smaller(target.slots, max_slots),
                 connections=_smaller(target.connections, max_connections),
             ),
@@ -95,16 +95,20 @@
         self._placement = placement
         self._peers = peers
         self._pools = pools
-        self.watch = ListWatch(me=board.me.name, timing=timing)
+        self.vm_list_monitor = VmListMonitor(
+            local_vm_name=board.me.name, timing=timing
+        )
         self._groups: dict[str, GroupShares] = {}
         self._targets: dict[str, tuple[Target, ...]] = {}
         self._known: dict[str, Vm] = {}
         self._ticked_at = -1e9
         peers.handle("shareRequest", self._on_request)
 
-    def heard(self, revision: int) -> None:
+    def record_contact(self, revision: int) -> None:
         """Note that a VM with this revision of the list was heard."""
-        self.watch.heard(now=self._reactor.now(), revision=revision)
+        self.vm_list_monitor.record_contact(
+            now=self._reactor.now(), revision=revision
+        )
 
     @handler("started")
     def _on_started(self, *_args: Any) -> None:
@@ -117,12 +121,14 @@
         board = self._board
         self._check_pause(now)
         self._known.update(board.vms)
-        self.watch.see(
+        self.vm_list_monitor.update(
             now=now,
             revision=board.vms_revision,
             listed=frozenset(board.vms),
         )
-        kept = self.watch.listed | self.watch.lingering(now)
+        kept = self.vm_list_monitor.listed | self.vm_list_monitor.lingering(
+            now
+        )
         self._known = {
             name: vm for name, vm in self._known.items() if name in kept
         }
@@ -157,7 +163,9 @@
         if shares is None:
             if group is None or self._board.me.name not in holders:
                 return
-            shares = self._groups[name] = GroupShares(watch=self.watch)
+            shares = self._groups[name] = GroupShares(
+                vm_list_monitor=self.vm_list_monitor
+            )
         self._report_use(name, shares)
         limits = shares.limits
         if group is not None:
@@ -168,7 +176,7 @@
                 max_slots=row.max_slots,
                 max_connections=row.max_connections,
             )
-        shares.see(
+        shares.update(
             now=self._reactor.now(),
             holders=holders,
             peers=self._possible_holders(name),
@@ -178,7 +186,7 @@
 
     def _possible_holders(self, name: str) -> frozenset[str]:
         vms = self._known.values()
-        return possible_holders(name, vms, self.watch.listed)
+        return possible_holders(name, vms, self.vm_list_monitor.listed)
 
     def _report_use(self, name: str, shares: GroupShares) -> None:
         for target in self._targets.get(name, ()):
@@ -203,7 +211,7 @@
     def _tick(self) -> None:
         now = self._reactor.now()
         self._check_pause(now)
-        self.watch.heard(
+        self.vm_list_monitor.record_contact(
             now=self._board.vms_seen_at, revision=self._board.vms_revision
         )
         for name, shares in list(self._groups.items()):
@@ -217,8 +225,8 @@
         self._reactor.call_later(TICK, self._tick)
 
     def _check_pause(self, now: float) -> None:
-        self.watch.tick(now=now)
-        if not self.watch.cut_off:
+        self.vm_list_monitor.tick(now=now)
+        if not self.vm_list_monitor.is_isolated:
             return
         logs.log_event("shares_given_up", level=logs.Level.WARNING)
         for name, shares in self._groups.items():
@@ -229,7 +237,7 @@
 
     # Messages.
 
-    def _ask(self, name: str, shares: GroupShares, ask: Ask) -> None:
+    def _ask(self, name: str, shares: GroupShares, ask: ShareRequest) -> None:
         vm = self._known.get(ask.vm)
         if vm is None:
             return
@@ -263,8 +271,8 @@
         if shares is None:
             # Nothing is held here; what is promised is to ask before that
             # changes.
-            shares = GroupShares(watch=self.watch)
-            shares.see(
+            shares = GroupShares(vm_list_monitor=self.vm_list_monitor)
+            shares.update(
                 now=now,
                 holders=holders,
                 peers=self._possible_holders(name),
@@ -311,7 +319,9 @@
         growing=release.growing,
         revision=release.vmsRevision,
         held={
-            item.target: Units(slots=item.slots, connections=item.connections)
+            item.target: TargetCapacity(
+                slots=item.slots, connections=item.connections
+            )
             for item in release.targets
         },
     )
--- a/bamboospring/shares.py
+++ b/bamboospring/shares.py
@@ -32,13 +32,13 @@
 from dataclasses import field
 
 __all__ = [
-    "Ask",
+    "ShareRequest",
     "GroupShares",
-    "ListWatch",
+    "VmListMonitor",
     "Reply",
     "ShareTiming",
     "TargetLimit",
-    "Units",
+    "TargetCapacity",
     "ranks_with_share",
     "split",
 ]
@@ -55,42 +55,42 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Units:
+class TargetCapacity:
     """A number of slots and of connections at one target."""
 
     slots: int = 0
     connections: int = 0
 
-    def at_most(self, other: Units) -> Units:
+    def at_most(self, other: TargetCapacity) -> TargetCapacity:
         """Return the smaller of the two, each kind by itself."""
-        return Units(
+        return TargetCapacity(
             slots=min(self.slots, other.slots),
             connections=min(self.connections, other.connections),
         )
 
-    def at_least(self, other: Units) -> Units:
+    def at_least(self, other: TargetCapacity) -> TargetCapacity:
         """Return the larger of the two, each kind by itself."""
-        return Units(
+        return TargetCapacity(
             slots=max(self.slots, other.slots),
             connections=max(self.connections, other.connections),
         )
 
-    def minus(self, other: Units) -> Units:
+    def minus(self, other: TargetCapacity) -> TargetCapacity:
         """Return what is left, never below zero."""
-        return Units(
+        return TargetCapacity(
             slots=max(0, self.slots - other.slots),
             connections=max(0, self.connections - other.connections),
         )
 
-    def plus(self, other: Units) -> Units:
+    def plus(self, other: TargetCapacity) -> TargetCapacity:
         """Return the sum."""
-        return Units(
+        return TargetCapacity(
             slots=self.slots + other.slots,
             connections=self.connections + other.connections,
         )
 
 
-NONE = Units()
+NONE = TargetCapacity()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -98,7 +98,7 @@
     """What one target allows over all holders together."""
 
     target: str
-    units: Units
+    units: TargetCapacity
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -113,14 +113,14 @@
     never any others.
     """
 
-    grace: float = 10.0
-    isolation: float = 5.0
+    grace_period: float = 10.0
+    isolation_timeout: float = 5.0
     retry: float = 0.25
     single_vm: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ask:
+class ShareRequest:
     """Ask `vm` whether it follows `holders` and what it still uses."""
 
     vm: str
@@ -143,7 +143,7 @@
     informed: bool = False
     growing: bool = False
     revision: int = 0
-    held: dict[str, Units] = field(default_factory=dict)
+    held: dict[str, TargetCapacity] = field(default_factory=dict)
 
 
 def split(limit: int, holders: int, rank: int, rotation: int) -> int:
@@ -172,25 +172,25 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class ListWatch:
+class VmListMonitor:
     """What this VM knows of the platform's list, and since when.
 
     One for a VM, shared by the shares of all groups. While `cut_off` is set
     nothing may be used, and busy connections are closed too.
     """
 
-    me: str
+    local_vm_name: str
     timing: ShareTiming = field(default_factory=ShareTiming)
     revision: int = -1
     listed: frozenset[str] = frozenset()
-    cut_off: bool = False
+    is_isolated: bool = False
     _gone: dict[str, float] = field(default_factory=dict)
     _informed: bool = False
     _watching_since: float = NEVER
     _heard_at: float = NEVER
     _ticked_at: float = NEVER
 
-    def see(
+    def update(
         self, *, now: float, revision: int, listed: frozenset[str]
     ) -> None:
         """Take a list of VMs that is not older than the last one."""
@@ -203,9 +203,9 @@
             self._gone.pop(vm, None)
         self.listed = listed
         self.revision = revision
-        self.heard(now=now, revision=revision)
+        self.record_contact(now=now, revision=revision)
 
-    def heard(self, *, now: float, revision: int) -> None:
+    def record_contact(self, *, now: float, revision: int) -> None:
         """Note that the platform or some other VM has been heard.
 
         One with a newer list doesn't count: that list may be without us,
@@ -216,14 +216,14 @@
 
     def tick(self, *, now: float) -> None:
         """Look for a pause of this process and for a cut; often enough."""
-        self.cut_off = self._paused(now) or self._isolated(now)
-        if self.cut_off:
+        self.is_isolated = self._paused(now) or self._isolated(now)
+        if self.is_isolated:
             self._informed = False
             self._watching_since = now
 
     def lingering(self, now: float) -> set[str]:
         """Return the VMs that have left the list but may still run."""
-        limit = self.timing.grace
+        limit = self.timing.grace_period
         self._gone = {
             vm: since
             for vm, since in self._gone.items()
@@ -243,13 +243,18 @@
         # One VM that watched for long enough, and that agreed, is enough:
         # nobody agrees while such a VM may still be running.
         watched = now - self._watching_since
-        if self._watching_since != NEVER and watched >= self.timing.grace:
+        if (
+            self._watching_since != NEVER
+            and watched >= self.timing.grace_period
+        ):
             self._informed = True
         return self._informed
 
     def is_lonely(self, now: float) -> bool:
         """Tell whether it is time to show that others can be heard."""
-        return now - self._heard_at > self.timing.isolation * PROBE_PART
+        return (
+            now - self._heard_at > self.timing.isolation_timeout * PROBE_PART
+        )
 
     def _paused(self, now: float) -> bool:
         # A process that was stopped for longer than the others wait for it
@@ -259,7 +264,7 @@
         paused = now - self._ticked_at
         known = self._ticked_at != NEVER
         self._ticked_at = now
-        return known and paused > self.timing.isolation
+        return known and paused > self.timing.isolation_timeout
 
     def _isolated(self, now: float) -> bool:
         # A VM that is cut off can't see that it has left the list. It stops
@@ -270,7 +275,7 @@
         # the whole limit. A deployment that has no second VM can say so.
         if self._heard_at == NEVER or self.timing.single_vm:
             return False
-        return now - self._heard_at > self.timing.isolation
+        return now - self._heard_at > self.timing.isolation_timeout
 
 
 @dataclass(slots=True, kw_only=True)
@@ -282,27 +287,27 @@
     which keeps connections counted until they are really closed.
     """
 
-    watch: ListWatch
+    vm_list_monitor: VmListMonitor
     holders: tuple[str, ...] = ()
     limits: tuple[TargetLimit, ...] = ()
     attempt: int = 0
-    _allowed: dict[str, Units] = field(default_factory=dict)
-    _used: dict[str, Units] = field(default_factory=dict)
+    _allowed: dict[str, TargetCapacity] = field(default_factory=dict)
+    _used: dict[str, TargetCapacity] = field(default_factory=dict)
     _peers: frozenset[str] = frozenset()
     _replies: dict[str, Reply] = field(default_factory=dict)
     _promised: set[str] = field(default_factory=set)
     _complete_at: float = NEVER
     _asked_at: float = NEVER
 
-    def allowed(self, target: str) -> Units:
+    def allowed(self, target: str) -> TargetCapacity:
         """Return what may be used of a target now."""
         return self._allowed.get(target, NONE)
 
-    def use(self, target: str, units: Units) -> None:
+    def use(self, target: str, units: TargetCapacity) -> None:
         """Record what is in use: running statements, open connections."""
         self._used[target] = units
 
-    def held(self, target: str) -> Units:
+    def held(self, target: str) -> TargetCapacity:
         """Return what others must count as taken by this VM."""
         used = self._used.get(target, NONE)
         return self.allowed(target).at_least(used)
@@ -310,11 +315,11 @@
     @property
     def idle(self) -> bool:
         """Tell whether nothing is held and nothing is to be had."""
-        return self.watch.me not in self.holders and all(
+        return self.vm_list_monitor.local_vm_name not in self.holders and all(
             self.held(target) == NONE for target in self._used
         )
 
-    def see(
+    def update(
         self,
         *,
         now: float,
@@ -329,7 +334,7 @@
         holder of the group; too many cost messages, too few could exceed a
         limit.
         """
-        self._peers = peers - {self.watch.me}
+        self._peers = peers - {self.vm_list_monitor.local_vm_name}
         self.limits = limits
         if holders != self.holders:
             self.holders = holders
@@ -345,15 +350,15 @@
         Nothing is promised while a VM that has just left the list may still
         use a share: the asker may be new and not know of it.
         """
-        self.watch.heard(now=now, revision=revision)
-        gone = self._peers & self.watch.lingering(now)
+        self.vm_list_monitor.record_contact(now=now, revision=revision)
+        gone = self._peers & self.vm_list_monitor.lingering(now)
         targets = {limit.target for limit in self.limits} | set(self._used)
         reply = Reply(
-            vm=self.watch.me,
+            vm=self.vm_list_monitor.local_vm_name,
             agrees=holders == self.holders and not gone - {vm},
-            informed=self.watch.is_informed(now),
+            informed=self.vm_list_monitor.is_informed(now),
             growing=self._wants_growth(),
-            revision=self.watch.revision,
+            revision=self.vm_list_monitor.revision,
             held={target: self.held(target) for target in targets},
         )
         if reply.agrees:
@@ -361,7 +366,7 @@
             self._grow(now)
         return reply
 
-    def ask_back(self, *, now: float, vm: str) -> list[Ask]:
+    def ask_back(self, *, now: float, vm: str) -> list[ShareRequest]:
         """Return the questions to send when a VM has just asked, if any.
 
         It is alive and has the newest list; waiting for the next `tick`
@@ -375,35 +380,35 @@
 
     def reply(self, *, now: float, attempt: int, reply: Reply) -> None:
         """Take the answer to an `Ask`; late answers count for nothing."""
-        self.watch.heard(now=now, revision=reply.revision)
+        self.vm_list_monitor.record_contact(now=now, revision=reply.revision)
         if attempt != self.attempt:
             return
         if reply.agrees:
             self._replies[reply.vm] = reply
-            self.watch.inform(reply)
+            self.vm_list_monitor.inform(reply)
         else:
             self._replies.pop(reply.vm, None)
         self._grow(now)
 
-    def tick(self, *, now: float) -> list[Ask]:
+    def tick(self, *, now: float) -> list[ShareRequest]:
         """Return the questions to send now; call it after the watch's."""
-        if self.watch.cut_off:
+        if self.vm_list_monitor.is_isolated:
             self._allowed.clear()
             self._forget()
         self._grow(now)
-        if now - self._asked_at < self.watch.timing.retry:
+        if now - self._asked_at < self.vm_list_monitor.timing.retry:
             return []
         return self._ask_all(now)
 
-    def _ask_all(self, now: float) -> list[Ask]:
+    def _ask_all(self, now: float) -> list[ShareRequest]:
         asked = self._to_ask(now)
         if asked:
             self._asked_at = now
         return [
-            Ask(
+            ShareRequest(
                 vm=vm,
                 holders=self.holders,
-                revision=self.watch.revision,
+                revision=self.vm_list_monitor.revision,
                 attempt=self.attempt,
             )
             for vm in sorted(asked)
@@ -412,13 +417,13 @@
     def _to_ask(self, now: float) -> set[str]:
         others = self._may_use(now)
         if self._wants_growth():
-            informed = self.watch.is_informed(now)
+            informed = self.vm_list_monitor.is_informed(now)
             return {
                 vm for vm in others if not informed or not self._settled(vm)
             }
         # With the platform silent, a question to the other holders shows
         # that this VM isn't cut off from everything.
-        if not self.watch.is_lonely(now):
+        if not self.vm_list_monitor.is_lonely(now):
             return set()
         return others & set(self.holders) or others
 
@@ -432,21 +437,23 @@
         self._asked_at = NEVER
 
     def _may_use(self, now: float) -> set[str]:
-        running = self.watch.listed | self.watch.lingering(now)
+        running = self.vm_list_monitor.listed | self.vm_list_monitor.lingering(
+            now
+        )
         return set(self._peers & running)
 
-    def _share(self, vm: str, position: int) -> Units:
+    def _share(self, vm: str, position: int) -> TargetCapacity:
         if vm not in self.holders:
             return NONE
         rank = self.holders.index(vm)
         count = len(self.holders)
         units = self.limits[position].units
-        return Units(
+        return TargetCapacity(
             slots=split(units.slots, count, rank, position),
             connections=split(units.connections, count, rank, position),
         )
 
-    def _excess(self, vm: str, position: int) -> Units:
+    def _excess(self, vm: str, position: int) -> TargetCapacity:
         reply = self._replies.get(vm)
         if reply is None:
             return NONE
@@ -461,20 +468,23 @@
 
     def _wants_growth(self) -> bool:
         return any(
-            self.allowed(limit.target) != self._share(self.watch.me, position)
+            self.allowed(limit.target)
+            != self._share(self.vm_list_monitor.local_vm_name, position)
             for position, limit in enumerate(self.limits)
         )
 
     def _shrink(self) -> None:
         self._allowed = {
             limit.target: self.allowed(limit.target).at_most(
-                self._share(self.watch.me, position)
+                self._share(self.vm_list_monitor.local_vm_name, position)
             )
             for position, limit in enumerate(self.limits)
         }
 
     def _grow(self, now: float) -> None:
-        if not self._wants_growth() or not self.watch.is_informed(now):
+        if not self._wants_growth() or not self.vm_list_monitor.is_informed(
+            now
+        ):
             return
         others = self._may_use(now)
         if not others <= self._replies.keys():
@@ -483,7 +493,7 @@
         if self._lets_others_first(others, now):
             return
         for position, limit in enumerate(self.limits):
-            free = self._share(self.watch.me, position)
+            free = self._share(self.vm_list_monitor.local_vm_name, position)
             for vm in others:
                 free = free.minus(self._excess(vm, position))
             grown = self.allowed(limit.target).at_least(free)
--- a/bamboospring/statements.py
+++ b/bamboospring/statements.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-__all__ = ["Position", "Statement", "Step"]
+__all__ = ["Position", "Statement", "StepKind"]
 
 
-class Step(IntEnum):
+class StepKind(IntEnum):
     """Where a statement stands in a transaction."""
 
     AUTOCOMMIT = 0
@@ -43,7 +43,7 @@
     sql: str
     params: bytes
     deadline: float
-    step: Step = Step.AUTOCOMMIT
+    step: StepKind = StepKind.AUTOCOMMIT
     transaction: str = ""
     key: str = ""
     token: Position = Position()
--- a/bamboospring/steward.py
+++ b/bamboospring/steward.py
@@ -41,7 +41,7 @@
 from bamboospring.rendezvous import shard_of
 from bamboospring.steward_care import Care
 from bamboospring.suspicion import Verdict
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 from bamboospring.target_orders import send_order
 from bamboospring.witnesses import Witnesses
 
@@ -239,7 +239,7 @@
         target: Target,
         version: int,
         done: bool,
-        probe: Probe | None,
+        probe: ProbeResult | None,
     ) -> None:
         now = self._reactor.now()
         record = group.record
@@ -258,7 +258,9 @@
             for order in orders_to_rejoin(record, {target.name: probe}):
                 self._rejoin(record, order, probe)
 
-    def _rejoin(self, record: GroupRecord, order: Order, probe: Probe) -> None:
+    def _rejoin(
+        self, record: GroupRecord, order: Order, probe: ProbeResult
+    ) -> None:
         logs.log_event(
             "target_rejoins",
             group=record.name,
--- a/bamboospring/steward_care.py
+++ b/bamboospring/steward_care.py
@@ -7,7 +7,7 @@
 
 from bamboospring.promotion import Change
 from bamboospring.suspicion import Suspicions
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["Care"]
 
@@ -17,7 +17,7 @@
     """What a steward, or one that may become it, knows of a group."""
 
     suspicions: Suspicions = field(default_factory=Suspicions)
-    probes: dict[str, tuple[Probe, float]] = field(default_factory=dict)
+    probes: dict[str, tuple[ProbeResult, float]] = field(default_factory=dict)
     change: Change | None = None
     failures: int = 0
     retry_at: float = -1e9
--- a/bamboospring/target_api.py
+++ b/bamboospring/target_api.py
@@ -9,29 +9,29 @@
 
 from bamboospring.blackboard import Role
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 
 __all__ = [
-    "Probe",
+    "ProbeResult",
     "TargetAnswer",
     "decode_answer",
     "decode_probe",
     "encode_execute",
 ]
 
-STEP_NAMES: dict[Step, str | None] = {
-    Step.AUTOCOMMIT: None,
-    Step.BEGIN: "begin",
-    Step.STATEMENT: "statement",
-    Step.COMMIT: "commit",
-    Step.ROLLBACK: "rollback",
+STEP_NAMES: dict[StepKind, str | None] = {
+    StepKind.AUTOCOMMIT: None,
+    StepKind.BEGIN: "begin",
+    StepKind.STATEMENT: "statement",
+    StepKind.COMMIT: "commit",
+    StepKind.ROLLBACK: "rollback",
 }
 
 ROLES = {role.value: role for role in Role}
 
 
 @dataclass(slots=True, kw_only=True)
-class Probe:
+class ProbeResult:
     """What a target says of itself."""
 
     target: str
@@ -40,11 +40,11 @@
     received: int
     applied: int
     last_term: int
-    start: int
+    term_start: int
     leaving: bool
     primary: str = ""
     # Opaque: the same as long as nothing of the account has changed.
-    state: str = ""
+    state_tag: str = ""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -122,21 +122,21 @@
     return [_checked_list(row) for row in _checked_list(value)]
 
 
-def decode_probe(body: bytes) -> Probe | None:
+def decode_probe(body: bytes) -> ProbeResult | None:
     """Read a target's account of itself; None if it is not one."""
     try:
         raw = orjson.loads(body)
-        return Probe(
+        return ProbeResult(
             target=raw["target"],
             term=raw["term"],
             role=ROLES[raw["role"]],
             received=raw["received"],
             applied=raw["applied"],
             last_term=raw["last_term"],
-            start=raw["start"],
+            term_start=raw["start"],
             leaving=bool(raw.get("leaving")),
             primary=raw.get("primary") or "",
-            state=raw.get("state") or "",
+            state_tag=raw.get("state") or "",
         )
     except (ValueError, KeyError, TypeError):
         return None
--- a/bamboospring/target_link.py
+++ b/bamboospring/target_link.py
@@ -56,7 +56,7 @@
     """
 
     full: bool = False
-    gone: bool = False
+    wrong_target: bool = False
     refused: bool = False
 
 
--- a/bamboospring/target_orders.py
+++ b/bamboospring/target_orders.py
@@ -15,7 +15,7 @@
 from bamboospring.promotion import OrderKind
 from bamboospring.reactor import Reactor
 from bamboospring.target_api import decode_probe
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["OnOrdered", "send_order"]
 
@@ -25,7 +25,7 @@
 PAUSE_FOR_MS = 1000
 
 # Gets whether the target did it and what it says of itself; None: no answer.
-OnOrdered = Callable[[bool, Probe | None], None]
+OnOrdered = Callable[[bool, ProbeResult | None], None]
 
 
 def send_order(reactor: Reactor, order: Order, on_done: OnOrdered) -> None:
@@ -55,8 +55,8 @@
 def _request(order: Order) -> tuple[str, str, dict[str, Any] | None]:
     term = {"term": order.term}
     match order.kind:
-        case OrderKind.PROBE if order.known and order.known.state:
-            seen = order.known.state
+        case OrderKind.PROBE if order.known and order.known.state_tag:
+            seen = order.known.state_tag
             return "GET", f"/positions?seen={seen}&wait_ms=0", None
         case OrderKind.PROBE:
             return "GET", "/probe", None
--- a/bamboospring/tokens.py
+++ b/bamboospring/tokens.py
@@ -28,11 +28,11 @@
 from bamboospring.statements import Position
 
 __all__ = [
-    "BadToken",
+    "InvalidToken",
     "MAX_GROUPS",
-    "Session",
+    "SessionPositions",
     "TokenCodec",
-    "TokenKey",
+    "SigningKey",
     "TransactionHandle",
 ]
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TokenKey:
+class SigningKey:
     """A signing key with the id that tokens name it by."""
 
     id: str
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Session:
+class SessionPositions:
     """A caller's session: its newest acknowledged write in each group.
 
     `token` is the text that it was read from and `signer` what signed that,
@@ -80,14 +80,14 @@
         """Tell whether a write in this group could still be noted."""
         return group in self.positions or len(self.positions) < MAX_GROUPS
 
-    def moved(self, group: str, position: Position) -> Session:
+    def moved(self, group: str, position: Position) -> SessionPositions:
         """Return the session after a write; it never moves back."""
         if position <= self.position(group):
             return self
         positions = {**self.positions, group: position}
-        return Session(caller=self.caller, positions=positions)
+        return SessionPositions(caller=self.caller, positions=positions)
 
-    def merged(self, other: Session) -> Session:
+    def merged(self, other: SessionPositions) -> SessionPositions:
         """Return a session that has seen what either has seen."""
         session = self
         for group, position in other.positions.items():
@@ -112,7 +112,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class BadToken:
+class InvalidToken:
     """A text that is not one of our tokens, with what is wrong."""
 
     message: str
@@ -121,17 +121,17 @@
 class TokenCodec:
     """Signs and verifies with the fleet's keys; the first one signs."""
 
-    def __init__(self, *, keys: Sequence[TokenKey]) -> None:
-        self.use(keys)
+    def __init__(self, *, keys: Sequence[SigningKey]) -> None:
+        self.set_keys(keys)
 
-    def use(self, keys: Sequence[TokenKey]) -> None:
+    def set_keys(self, keys: Sequence[SigningKey]) -> None:
         """Sign with the first of these keys and verify with all of them."""
         if not keys:
             raise ValueError("at least one token key is needed")
         self._keys = {key.id: _Signer(key) for key in keys}
         self._signer = self._keys[keys[0].id]
 
-    def encode(self, session: Session) -> str:
+    def encode(self, session: SessionPositions) -> str:
         """Return the token of a session."""
         if session.signer is self._signer:
             return session.token
@@ -141,13 +141,13 @@
         ]
         return self._sign([SESSION, session.caller, positions])
 
-    def decode(self, text: str) -> Session | BadToken:
+    def decode(self, text: str) -> SessionPositions | InvalidToken:
         """Return the session of a token, or what is wrong with it."""
         fields = self._verify(text, SESSION)
-        if isinstance(fields, BadToken):
+        if isinstance(fields, InvalidToken):
             return fields
         key, _, caller, positions = fields
-        return Session(
+        return SessionPositions(
             caller=caller,
             positions={
                 group: Position(term=term, index=index)
@@ -170,10 +170,12 @@
             ]
         )
 
-    def decode_transaction(self, text: str) -> TransactionHandle | BadToken:
+    def decode_transaction(
+        self, text: str
+    ) -> TransactionHandle | InvalidToken:
         """Return the handle that a caller brings back."""
         fields = self._verify(text, TRANSACTION)
-        if isinstance(fields, BadToken):
+        if isinstance(fields, InvalidToken):
             return fields
         _, _, vm, group, caller, number, step = fields
         return TransactionHandle(
@@ -185,24 +187,24 @@
         body = orjson.dumps([signer.id, *fields])
         return _to_text(body + signer.mac(body))
 
-    def _verify(self, text: str, kind: str) -> list[Any] | BadToken:
+    def _verify(self, text: str, kind: str) -> list[Any] | InvalidToken:
         """Return all fields of a text, from the key's id on."""
         if len(text) > MAX_TOKEN:
-            return BadToken(message="too long")
+            return InvalidToken(message="too long")
         try:
             raw = _to_bytes(text)
         except (ValueError, binascii.Error):
-            return BadToken(message="not a token")
+            return InvalidToken(message="not a token")
         body, mac = raw[:-MAC_BYTES], raw[-MAC_BYTES:]
         fields = _fields_of(body)
         signer = self._signer_of(fields)
         if signer is None:
-            return BadToken(message="signed with a key not known here")
+            return InvalidToken(message="signed with a key not known here")
         # What is inside is trusted only after this line.
         if not hmac.compare_digest(signer.mac(body), mac):
-            return BadToken(message="wrong signature")
+            return InvalidToken(message="wrong signature")
         if fields[1] != kind:
-            return BadToken(message="not meant for this use")
+            return InvalidToken(message="not meant for this use")
         return fields
 
     def _signer_of(self, fields: list[Any]) -> _Signer | None:
@@ -220,7 +222,7 @@
 
     __slots__ = ("_inner", "_outer", "id")
 
-    def __init__(self, key: TokenKey) -> None:
+    def __init__(self, key: SigningKey) -> None:
         secret = key.secret
         if len(secret) > HMAC_BLOCK:
             secret = hashlib.sha256(secret).digest()
--- a/bamboospring/transaction_runner.py
+++ b/bamboospring/transaction_runner.py
@@ -18,14 +18,14 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
 from bamboospring.statements import Position
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 from bamboospring.target_api import TargetAnswer
-from bamboospring.tokens import BadToken
+from bamboospring.tokens import InvalidToken
 from bamboospring.tokens import TokenCodec
 from bamboospring.transactions import Answer
 from bamboospring.transactions import Go
@@ -67,7 +67,7 @@
         self._draw_number = draw_number
 
     def begun(
-        self, stmt: Statement, leased: Leased, answer: TargetAnswer
+        self, stmt: Statement, leased: LeasedConnection, answer: TargetAnswer
     ) -> Done:
         """Pin a transaction that has begun to its connection."""
         transaction = Transaction(
@@ -78,14 +78,14 @@
             leased=leased,
         )
         self.table.open(transaction)
-        self.pools.park(leased)
+        self.pools.release_slot(leased)
         self._wait_idle(transaction)
         return done_from(answer, transaction=self._handle(transaction))
 
     def run(self, stmt: Statement, done: OnOutcome) -> None:
         """Run a step of an open transaction and call back once."""
         handle = self._codec.decode_transaction(stmt.transaction)
-        if isinstance(handle, BadToken):
+        if isinstance(handle, InvalidToken):
             done(NotRun(reason=Reason.NO_TRANSACTION, message=handle.message))
             return
         verdict = self.table.judge(handle, stmt)
@@ -136,7 +136,7 @@
     def next_handle(self, transaction: Transaction) -> str:
         """Make a transaction ready for its next step."""
         self.table.free(transaction)
-        self.pools.park(transaction.leased)
+        self.pools.release_slot(transaction.leased)
         self._wait_idle(transaction)
         return self._handle(transaction)
 
@@ -179,21 +179,21 @@
     def send(self) -> None:
         """Send the step to the transaction's target."""
         stmt = self._stmt
-        if stmt.step is Step.COMMIT:
+        if stmt.step is StepKind.COMMIT:
             self._runner.flights.add(stmt.group, self)
 
-        def ready(leased: Leased | NotRun | Overloaded) -> None:
-            if isinstance(leased, Leased):
+        def ready(leased: LeasedConnection | NotRun | Overloaded) -> None:
+            if isinstance(leased, LeasedConnection):
                 self._send(leased)
             else:
                 self._end(rolled_back(), healthy=False)
                 self._finish(leased)
 
-        self._runner.pools.resume(
+        self._runner.pools.reacquire_slot(
             self._transaction.leased, stmt.deadline, stmt.caller, ready
         )
 
-    def _send(self, leased: Leased) -> None:
+    def _send(self, leased: LeasedConnection) -> None:
         stmt = self._stmt
         self.sent_on = leased
         self._runner.exchange.send(
@@ -223,10 +223,10 @@
             self._lost(answer)
         elif answer.outcome != "ok":
             self._not_ok(answer)
-        elif self._stmt.step is Step.STATEMENT:
+        elif self._stmt.step is StepKind.STATEMENT:
             handle = self._runner.next_handle(self._transaction)
             self._finish(done_from(answer, transaction=handle))
-        elif self._stmt.step is Step.ROLLBACK:
+        elif self._stmt.step is StepKind.ROLLBACK:
             self._end(rolled_back(), healthy=True)
             self._finish(done_from(answer))
         else:
@@ -234,7 +234,7 @@
 
     def _lost(self, lost: HttpLost) -> None:
         outcome: Outcome = rolled_back()
-        if self._stmt.step is Step.COMMIT and lost.sent:
+        if self._stmt.step is StepKind.COMMIT and lost.sent:
             outcome = Unknown(
                 reason=Reason.ANSWER_LOST, retry_after_ms=RETRY_SOON_MS
             )
@@ -270,7 +270,7 @@
         if self._over:
             return
         self._over = True
-        if self._stmt.step is Step.COMMIT:
+        if self._stmt.step is StepKind.COMMIT:
             self._runner.flights.remove(self._stmt.group, self)
             self._runner.table.settle(self._transaction, outcome)
         self._done(outcome)
--- a/bamboospring/transactions.py
+++ b/bamboospring/transactions.py
@@ -22,7 +22,7 @@
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 from bamboospring.tokens import TransactionHandle
 
 __all__ = [
@@ -126,7 +126,7 @@
                 outcome=_lost("an answer was missed; it was rolled back"),
             )
         transaction.busy = True
-        transaction.committing = stmt.step is Step.COMMIT
+        transaction.committing = stmt.step is StepKind.COMMIT
         transaction.step += 1
         return Go(transaction=transaction)
 
@@ -152,7 +152,7 @@
             self._ended.popitem(last=False)
 
     def _of_ended(self, handle: TransactionHandle, stmt: Statement) -> Outcome:
-        if stmt.step is not Step.COMMIT:
+        if stmt.step is not StepKind.COMMIT:
             return _lost("the transaction has ended")
         outcome = self._ended.get(handle.number)
         if outcome is None:
@@ -177,7 +177,7 @@
 
 def _still_busy(stmt: Statement) -> Outcome:
     message = "another step of it is under way"
-    if stmt.step is Step.COMMIT:
+    if stmt.step is StepKind.COMMIT:
         # That other step may be this very commit, sent through another VM.
         return Unknown(reason=Reason.NO_TRANSACTION, message=message)
     return _no_transaction(message)
--- a/bamboospring/watcher.py
+++ b/bamboospring/watcher.py
@@ -36,7 +36,7 @@
 from bamboospring.suspicion import Verdict
 from bamboospring.suspicion import WatchTiming
 from bamboospring.target_api import decode_probe
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["Watcher"]
 
@@ -140,7 +140,7 @@
         watched.waiting.append(waiting)
 
     def saw(
-        self, group: str, target: str, probe: Probe, asked_at: float
+        self, group: str, target: str, probe: ProbeResult, asked_at: float
     ) -> None:
         """Take in what a target said of itself."""
         watched = self._watched.get(group)
@@ -316,7 +316,9 @@
             waiting.on_held(False)
 
 
-def _needs_steward(record: GroupRecord, target: str, probe: Probe) -> bool:
+def _needs_steward(
+    record: GroupRecord, target: str, probe: ProbeResult
+) -> bool:
     """Tell whether a target leaves as primary, or does not follow one."""
     if not record.primary:
         return False
@@ -343,7 +345,7 @@
         )
         self._asked_at = 0.0
         # What the target said last on this connection, if it named a state.
-        self._known: Probe | None = None
+        self._known: ProbeResult | None = None
         self._stopped = False
 
     def start(self) -> None:
@@ -380,11 +382,11 @@
             return
         self.watch.heard(now)
         self._watcher.saw(self._group, self.target.name, probe, self._asked_at)
-        self._known = probe if probe.state else None
+        self._known = probe if probe.state_tag else None
         wait_ms = int(self._wait() * 1000)
         self._ask(f"/positions?{_seen(probe)}&wait_ms={wait_ms}")
 
-    def _read(self, answer: HttpAnswer | HttpLost) -> Probe | None:
+    def _read(self, answer: HttpAnswer | HttpLost) -> ProbeResult | None:
         """Return what the target says; nothing new is what it said last.
 
         The target compares all of its account, so that an answer without a
@@ -405,10 +407,10 @@
             self.watch.lost()
 
 
-def _seen(probe: Probe) -> str:
+def _seen(probe: ProbeResult) -> str:
     """Return what to name to a target as known: its state's name, if any."""
-    if probe.state:
-        return f"seen={probe.state}"
+    if probe.state_tag:
+        return f"seen={probe.state_tag}"
     return (
         f"received={probe.received}&applied={probe.applied}"
         f"&term={probe.term}&role={probe.role.value}"
--- a/bamboospring/wire.py
+++ b/bamboospring/wire.py
@@ -24,7 +24,7 @@
 from bamboospring.peers import envelope
 from bamboospring.statements import Position
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 
 __all__ = [
     "decode_outcome",
@@ -94,7 +94,7 @@
             sql=sql,
             params=src.params,
             deadline=now + left,
-            step=Step(step),
+            step=StepKind(step),
             transaction=transaction,
             key=key,
             token=Position(term=term, index=index),
--- a/bamboospring/witnesses.py
+++ b/bamboospring/witnesses.py
@@ -26,7 +26,7 @@
 from bamboospring.steward_care import Care
 from bamboospring.suspicion import Report
 from bamboospring.suspicion import Verdict
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 from bamboospring.target_orders import OnOrdered
 from bamboospring.target_orders import ORDER_TIMEOUT
 
@@ -146,7 +146,7 @@
         care.check_at = now
         me = self._board.me
 
-        def answered(done: bool, probe: Probe | None) -> None:
+        def answered(done: bool, probe: ProbeResult | None) -> None:
             works = probe is not None and probe.term == record.term
             care.suspicions.take(
                 Report(
@@ -202,7 +202,7 @@
             name=name, address=body.address, availability_zone="", site=""
         )
 
-        def answered(done: bool, probe: Probe | None) -> None:
+        def answered(done: bool, probe: ProbeResult | None) -> None:
             works = probe is not None and probe.term == term
             verdict = Verdict(suspected=not works, silent=0.0)
             reply(self._suspicion(group, name, term, verdict))
--- a/bamboospring/writes.py
+++ b/bamboospring/writes.py
@@ -31,17 +31,17 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Timer
 from bamboospring.rendezvous import shard_of
 from bamboospring.routing import choose_write
 from bamboospring.routing import reaches_majority
-from bamboospring.routing import WriteAt
+from bamboospring.routing import SendWrite
 from bamboospring.statements import Position
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 from bamboospring.target_api import TargetAnswer
 from bamboospring.watcher import Watcher
 
@@ -64,10 +64,10 @@
 LATE_MAJORITY = 0.25
 
 OnOutcome = Callable[[Outcome], None]
-OnBegun = Callable[[Statement, Leased, TargetAnswer], Done]
+OnBegun = Callable[[Statement, LeasedConnection, TargetAnswer], Done]
 
 
-class Phase(Enum):
+class WritePhase(Enum):
     """How far a write has come."""
 
     PARKED = "parked"
@@ -113,7 +113,7 @@
         self.flights.add(stmt.group, write)
         write.attempt()
 
-    def choose(self, group: Group) -> WriteAt | None:
+    def choose(self, group: Group) -> SendWrite | None:
         """Return where a write of the group goes now."""
         name = group.record.name
         row = self.board.row(name, shard_of(name))
@@ -155,7 +155,7 @@
         self._stmt = stmt
         self._group = group
         self._done = done
-        self._phase = Phase.ACQUIRING
+        self._phase = WritePhase.ACQUIRING
         # Counts the tries: a callback of an earlier one finds another
         # number and gives back what it got.
         self._try = 0
@@ -169,7 +169,7 @@
     def attempt(self) -> None:
         """Look for the primary and ask for a connection to it."""
         self._unpark()
-        if self._phase is Phase.OVER:
+        if self._phase is WritePhase.OVER:
             return
         if self._left() <= 0:
             self._finish(
@@ -206,15 +206,15 @@
     def term_ended(self) -> None:
         """Go on if nothing was sent, else end as unknown."""
         match self._phase:
-            case Phase.PARKED | Phase.ACQUIRING:
+            case WritePhase.PARKED | WritePhase.ACQUIRING:
                 self.attempt()
-            case Phase.SENT:
+            case WritePhase.SENT:
                 self._runner.reactor.call_later(TERM_GRACE, self._give_up)
-            case Phase.HOLDING:
+            case WritePhase.HOLDING:
                 self._finish(_primary_changed())
 
     def _give_up(self) -> None:
-        if self._phase in (Phase.SENT, Phase.HOLDING):
+        if self._phase in (WritePhase.SENT, WritePhase.HOLDING):
             if self.term < self._group.record.term:
                 self._finish(_primary_changed())
 
@@ -232,14 +232,14 @@
             )
             return
         parked[name] = parked.get(name, 0) + 1
-        self._phase = Phase.PARKED
+        self._phase = WritePhase.PARKED
         wait = max(0.0, min(seconds, self._left()))
         self._timer = self._runner.reactor.call_later(wait, self.attempt)
 
     def _unpark(self) -> None:
-        if self._phase is not Phase.PARKED:
+        if self._phase is not WritePhase.PARKED:
             return
-        self._phase = Phase.ACQUIRING
+        self._phase = WritePhase.ACQUIRING
         self._runner.parked[self._stmt.group] -= 1
         if self._timer is not None:
             self._timer.cancel()
@@ -247,8 +247,8 @@
 
     # At the primary.
 
-    def _acquire(self, choice: WriteAt) -> None:
-        self._phase = Phase.ACQUIRING
+    def _acquire(self, choice: SendWrite) -> None:
+        self._phase = WritePhase.ACQUIRING
         self._try += 1
         number = self._try
         name = choice.target.name
@@ -256,17 +256,17 @@
         state.outstanding += 1
         self._runner.begin_try(name)
 
-        def ready(leased: Leased | NotRun | Overloaded) -> None:
+        def ready(leased: LeasedConnection | NotRun | Overloaded) -> None:
             state.outstanding -= 1
             unreachable = (
                 isinstance(leased, NotRun)
                 and leased.reason is Reason.TARGET_UNREACHABLE
             )
             self._runner.end_try(name, reached=not unreachable)
-            if number != self._try or self._phase is not Phase.ACQUIRING:
-                if isinstance(leased, Leased):
+            if number != self._try or self._phase is not WritePhase.ACQUIRING:
+                if isinstance(leased, LeasedConnection):
                     self._runner.pools.release(leased, healthy=True)
-            elif isinstance(leased, Leased):
+            elif isinstance(leased, LeasedConnection):
                 self._send(choice, leased)
             elif unreachable:
                 self._park(PARK_RECHECK, Reason.TARGET_UNREACHABLE)
@@ -278,11 +278,11 @@
             self._stmt.deadline,
             self._stmt.caller,
             ready,
-            writes=True,
+            is_write=True,
         )
 
-    def _send(self, choice: WriteAt, leased: Leased) -> None:
-        self._phase = Phase.SENT
+    def _send(self, choice: SendWrite, leased: LeasedConnection) -> None:
+        self._phase = WritePhase.SENT
         self.sent_on = leased
         state = self._group.state(choice.target.name)
         state.outstanding += 1
@@ -290,10 +290,10 @@
         def answered(answer: TargetAnswer | HttpLost) -> None:
             state.outstanding -= 1
             self.sent_on = None
-            if self._phase is not Phase.SENT:
+            if self._phase is not WritePhase.SENT:
                 # Given up meanwhile. A transaction that has begun after all
                 # is rolled back with its connection.
-                clean = self._stmt.step is Step.AUTOCOMMIT
+                clean = self._stmt.step is StepKind.AUTOCOMMIT
                 lost = isinstance(answer, HttpLost)
                 self._runner.pools.release(leased, healthy=clean and not lost)
             elif isinstance(answer, HttpLost):
@@ -312,7 +312,7 @@
         )
 
     def _lost(self, lost: HttpLost) -> None:
-        if not lost.sent or self._stmt.step is Step.BEGIN:
+        if not lost.sent or self._stmt.step is StepKind.BEGIN:
             # Nothing was sent, or only what ended with its connection.
             late = lost.reason in ("deadline", "timeout")
             why = Reason.DEADLINE if late else Reason.TARGET_UNREACHABLE
@@ -322,8 +322,10 @@
             Unknown(reason=Reason.ANSWER_LOST, retry_after_ms=RETRY_SOON_MS)
         )
 
-    def _answered(self, leased: Leased, answer: TargetAnswer) -> None:
-        begun = self._stmt.step is Step.BEGIN and answer.outcome == "ok"
+    def _answered(
+        self, leased: LeasedConnection, answer: TargetAnswer
+    ) -> None:
+        begun = self._stmt.step is StepKind.BEGIN and answer.outcome == "ok"
         if begun:
             self._finish(self._runner.on_begun(self._stmt, leased, answer))
             return
@@ -349,7 +351,7 @@
 
     def _hold(self, answer: TargetAnswer) -> None:
         """Pass the answer on once a majority holds the write."""
-        self._phase = Phase.HOLDING
+        self._phase = WritePhase.HOLDING
         position = Position(term=answer.term, index=answer.index)
         since = self._runner.reactor.now()
 
@@ -379,10 +381,10 @@
         )
 
     def _finish(self, outcome: Outcome) -> None:
-        if self._phase is Phase.OVER:
+        if self._phase is WritePhase.OVER:
             return
         self._unpark()
-        self._phase = Phase.OVER
+        self._phase = WritePhase.OVER
         self._runner.flights.remove(self._stmt.group, self)
         self._done(outcome)
 
--- a/bench/unbounded_serve.py
+++ b/bench/unbounded_serve.py
@@ -10,11 +10,11 @@
 from bamboospring import cli
 from bamboospring.retry_budget import RetryBudget
 
-admission.START_RESERVE = 0.0
+admission.MIN_REMAINING_FACTOR = 0.0
 admission.Admission._refusal = lambda self, ticket, now: None
 admission.Admission._refuse_hopeless = lambda self, now: []
 admission.Ticket.key = property(lambda self: (0, 0.0, self.number))
-RetryBudget.may_retry = lambda self: True
+RetryBudget.spend_retry = lambda self: True
 
 
 def main() -> None:
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -25,7 +25,7 @@
 from bamboospring.platform.entries import read_catalog
 from bamboospring.platform.lines import key_digest
 from bamboospring.platform_client import WRITTEN_AGAIN
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.pool import PoolTiming
 from bamboospring.pools import Pools
 from bamboospring.sessions.access import identify
@@ -44,7 +44,7 @@
 from bamboospring.sessions.session import Session
 from bamboospring.sessions.session_metrics import largest_teams
 from bamboospring.sessions.session_opening import judge_opening
-from bamboospring.shares import Units
+from bamboospring.shares import TargetCapacity
 from bamboospring.store_version import version_of
 from bamboospring.target_link import Opened
 from bamboospring.target_link import OpenFailed
@@ -549,9 +549,9 @@
         reactor=clock,
         make_dialer=lambda target, on_ended: dialer,
         timing=PoolTiming(connections=LINK_TIMING),
-        chance=lambda: 0.5,
+        random_float=lambda: 0.5,
     )
-    share = Units(slots=3, connections=connections)
+    share = TargetCapacity(slots=3, connections=connections)
     pools.pool(TARGET).set_share(share)
     pools.start()
     return pools
@@ -570,7 +570,7 @@
 
         def ready(result: Any) -> None:
             nonlocal served, wrong
-            if not isinstance(result, Leased):
+            if not isinstance(result, LeasedConnection):
                 return
             served += 1
             wrong += result.conn.team != team
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from bamboospring.admission import Admission
-from bamboospring.admission import Refused
-from bamboospring.admission import Run
+from bamboospring.admission import SlotGranted
+from bamboospring.admission import SlotQueued
+from bamboospring.admission import SlotRefused
 from bamboospring.admission import Ticket
-from bamboospring.admission import Wait
 from bamboospring.breaker import Breaker
 from bamboospring.breaker import Circuit
 from bamboospring.retry_budget import RetryBudget
@@ -50,13 +50,13 @@
         for verdict in verdicts:
             number = verdict.ticket.item
             match verdict:
-                case Run():
+                case SlotGranted():
                     self.running.append(verdict.ticket)
                     self.order.append(verdict.ticket.caller)
                     self.settle(number, "run")
-                case Refused():
+                case SlotRefused():
                     self.settle(number, verdict)
-                case Wait():
+                case SlotQueued():
                     assert number not in self.fates
 
     def settle(self, number, fate):
@@ -67,8 +67,8 @@
         self.now += seconds
         if self.running:
             ticket = self.running.pop(0)
-            self.admission.finished(ticket, seconds)
-        self.take(self.admission.next(self.now))
+            self.admission.release(ticket, seconds)
+        self.take(self.admission.grant_next(self.now))
 
     def drain(self, seconds):
         while self.running or self.admission.waiting:
@@ -76,7 +76,7 @@
 
     def refusals(self):
         fates = self.fates.values()
-        return [fate for fate in fates if isinstance(fate, Refused)]
+        return [fate for fate in fates if isinstance(fate, SlotRefused)]
 
 
 def play(events):
@@ -93,7 +93,7 @@
                 load.take(load.admission.expire(load.now))
             case "slots":
                 slots = load.admission.slots = number % 4
-                load.take(load.admission.next(load.now))
+                load.take(load.admission.grant_next(load.now))
         yield load, slots
     load.admission.slots = 1
     load.drain(0.01)
@@ -185,10 +185,10 @@
     budget = RetryBudget(percent=percent, reserve=20.0)
     retries = 0
     for _ in range(count):
-        budget.first_try()
-        retries += budget.may_retry()
+        budget.record_first_attempt()
+        retries += budget.spend_retry()
     assert abs(retries - paid) <= 1, retries
-    assert not budget.may_retry()
+    assert not budget.spend_retry()
 
 
 @given("a circuit that has failed {count:d} times")
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -21,9 +21,9 @@
 from bamboospring.testing.caller import Caller
 from bamboospring.testing.caller import CallerAnswer
 from bamboospring.testing.fleet import TOKEN_KEYS
-from bamboospring.tokens import Session
+from bamboospring.tokens import SessionPositions
+from bamboospring.tokens import SigningKey
 from bamboospring.tokens import TokenCodec
-from bamboospring.tokens import TokenKey
 from bamboospring.tokens import TransactionHandle
 
 INSERT = "INSERT INTO entries (body) VALUES ('bad input')"
@@ -36,7 +36,7 @@
     first = TOKEN_KEYS[0]
     return TokenCodec(
         keys=[
-            TokenKey(
+            SigningKey(
                 id=key or first["id"],
                 secret=(secret or first["secret"]).encode(),
             )
@@ -152,7 +152,7 @@
     """Return a body with the named fault."""
     good = json.dumps(good_body(context))
     stranger = codec("k1", "another fleet's secret").encode(
-        Session(caller="tester")
+        SessionPositions(caller="tester")
     )
     handle = codec().encode_transaction(
         TransactionHandle(vm="vm-1", group=GROUP, caller="tester", number=1)
--- a/features/steps/exploration_steps.py
+++ b/features/steps/exploration_steps.py
@@ -14,8 +14,8 @@
 from promotion_machine import explore
 from shares_steps import Fleet as SharesFleet
 
-from bamboospring.commit import majorities_meet
-from bamboospring.commit import majority_of
+from bamboospring.commit import majorities_overlap
+from bamboospring.commit import majority_size
 
 EXAMPLES = int(os.environ.get("BAMBOOSPRING_EXAMPLES", "100"))
 # Which examples are drawn depends on the constants of all modules that are
@@ -81,10 +81,10 @@
     for one, two in itertools.product(sets, repeat=2):
         meet = all(
             set(few) & set(some)
-            for few in itertools.combinations(one, majority_of(len(one)))
-            for some in itertools.combinations(two, majority_of(len(two)))
+            for few in itertools.combinations(one, majority_size(len(one)))
+            for some in itertools.combinations(two, majority_size(len(two)))
         )
-        assert majorities_meet(one, two) == meet, (one, two)
+        assert majorities_overlap(one, two) == meet, (one, two)
 
 
 @when("leases are explored")
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -117,7 +117,7 @@
         pools=SimpleNamespace(),
         watcher=SimpleNamespace(),
         codec=SimpleNamespace(),
-        transaction_idle=1.0,
+        transaction_idle_timeout=1.0,
         budget=SimpleNamespace(
             first_try=lambda: context.tries.append(1),
             may_retry=lambda: False,
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -18,8 +18,8 @@
 from hypothesis import strategies as st
 
 
-from bamboospring.connections import Connections
 from bamboospring.connections import ConnectionTiming
+from bamboospring.connections import ConnectionTracker
 from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import wait_until
@@ -350,16 +350,16 @@
 
 def lose_and_reopen(events: list[tuple[str, float]]) -> None:
     """Play losses and openings; check the share and the pace."""
-    timing = ConnectionTiming(pace=0.02)
-    connections = Connections[Conn](timing=timing, limit=6)
+    timing = ConnectionTiming(open_interval=0.02)
+    connections = ConnectionTracker[Conn](timing=timing, limit=6)
     now, opened_at = 0.0, []
     for kind, draw in [("wait", 0.5)] * 30 + events:
         now += 0.004
-        while connections.wait_to_open(now, 20) == 0.0:
-            connections.opening_one(now, draw=draw)
+        while connections.open_delay(now, 20) == 0.0:
+            connections.record_opening(now, draw=draw)
             opened_at.append(now)
         if kind == "opened" and connections.opening:
-            connections.opened(Conn(now))
+            connections.add_opened(Conn(now))
         elif kind == "failed" and connections.opening:
             connections.open_failed()
         elif kind == "lost":
--- a/features/steps/names_steps.py
+++ b/features/steps/names_steps.py
@@ -30,7 +30,7 @@
 from bamboospring.rendezvous import Placement
 from bamboospring.rendezvous import rank
 from bamboospring.shares import GroupShares
-from bamboospring.shares import ListWatch
+from bamboospring.shares import VmListMonitor
 
 GROUP = "journal-6"
 NAMES = shares_steps.NAMES
@@ -92,7 +92,7 @@
         if skip and self.now - self.listed_at[newest] < shares_steps.LAG:
             newest -= 1
         process.seen = max(process.seen, newest)
-        process.watch.see(
+        process.watch.update(
             now=self.now,
             revision=process.seen + 1,
             listed=self.lists[process.seen],
@@ -170,9 +170,11 @@
 
 @given("a VM that has seen a list which leaves it out")
 def given_left(context: Any) -> None:
-    context.watch = ListWatch(me="a", timing=shares_steps.TIMING)
-    context.watch.see(now=0.0, revision=1, listed=frozenset("ab"))
-    context.watch.see(now=0.5, revision=2, listed=frozenset("b"))
+    context.watch = VmListMonitor(
+        local_vm_name="a", timing=shares_steps.TIMING
+    )
+    context.watch.update(now=0.0, revision=1, listed=frozenset("ab"))
+    context.watch.update(now=0.5, revision=2, listed=frozenset("b"))
 
 
 @when("it hears nobody for longer than the isolation time")
@@ -184,11 +186,11 @@
 @given("a VM that is alone on its list, and one that is always alone")
 def given_alone(context: Any) -> None:
     timing = shares_steps.TIMING
-    context.watch = ListWatch(me="a", timing=timing)
+    context.watch = VmListMonitor(local_vm_name="a", timing=timing)
     single = dataclasses.replace(timing, single_vm=True)
-    context.single = ListWatch(me="a", timing=single)
+    context.single = VmListMonitor(local_vm_name="a", timing=single)
     for watch in (context.watch, context.single):
-        watch.see(now=0.0, revision=1, listed=frozenset("a"))
+        watch.update(now=0.0, revision=1, listed=frozenset("a"))
 
 
 @when("they hear nobody for longer than the isolation time")
--- a/features/steps/promotion_faults.py
+++ b/features/steps/promotion_faults.py
@@ -15,7 +15,7 @@
 from bamboospring.promotion import OrderKind
 from bamboospring.promotion import Phase
 from bamboospring.statements import Position
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = ["MUTATIONS", "mutated"]
 
@@ -34,7 +34,7 @@
 
 
 def _stopped_minority(
-    change: Change, name: str, accepted: bool, probe: Probe, now: float
+    change: Change, name: str, accepted: bool, probe: ProbeResult, now: float
 ) -> list[Any]:
     if not accepted or change.phase is not Phase.FENCE:
         return []
@@ -43,7 +43,9 @@
         return change._promote(now)
 
 
-def _choose_first(fenced: dict[str, Probe], *rest: Any, **more: Any) -> str:
+def _choose_first(
+    fenced: dict[str, ProbeResult], *rest: Any, **more: Any
+) -> str:
     return next(iter(fenced))
 
 
--- a/features/steps/promotion_world.py
+++ b/features/steps/promotion_world.py
@@ -26,7 +26,7 @@
 from bamboospring.promotion import UpdateGroup
 from bamboospring.records import decode_group
 from bamboospring.statements import Position
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 
 __all__ = [
     "FakeTarget",
@@ -118,15 +118,15 @@
         self.log: list[tuple[int, str]] = []
         self.up = True
 
-    def probe(self) -> Probe:
-        return Probe(
+    def probe(self) -> ProbeResult:
+        return ProbeResult(
             target=self.name,
             term=self.term,
             role=self.role,
             received=len(self.log),
             applied=len(self.log),
             last_term=self.log[-1][0] if self.log else 0,
-            start=self._start(),
+            term_start=self._start(),
             leaving=False,
             primary=self.primary,
         )
@@ -289,12 +289,12 @@
     def _send_order(self, change: Change, order: Order) -> None:
         target = self.world.targets[order.target.name]
 
-        def effect() -> tuple[bool, Probe] | None:
+        def effect() -> tuple[bool, ProbeResult] | None:
             if not target.up:
                 return None
             return target.obey(order), target.probe()
 
-        def answer(result: tuple[bool, Probe] | None) -> None:
+        def answer(result: tuple[bool, ProbeResult] | None) -> None:
             if result is None:
                 self._apply(change, change.lost(order, self.now()))
                 return
--- a/features/steps/session_decisions_steps.py
+++ b/features/steps/session_decisions_steps.py
@@ -12,8 +12,8 @@
 
 from bamboospring.admission import Ticket
 from bamboospring.blackboard import Target
-from bamboospring.connections import Connections
 from bamboospring.connections import ConnectionTiming
+from bamboospring.connections import ConnectionTracker
 from bamboospring.object_store import Conflict
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
@@ -370,8 +370,10 @@
 
 @given("connections that may be {limit:d} at a pace of {pace:d} ms")
 def given_connections(context, limit, pace):
-    timing = ConnectionTiming(pace=pace / 1000, idle=9.0, idle_scarce=0.3)
-    context.connections = Connections(timing=timing, limit=limit)
+    timing = ConnectionTiming(
+        open_interval=pace / 1000, idle_timeout=9.0, scarce_idle_timeout=0.3
+    )
+    context.connections = ConnectionTracker(timing=timing, limit=limit)
 
 
 @when("the target is full at {at:f}")
@@ -404,10 +406,10 @@
 
 @given("idle connections with the values lang=1, none, lang=2")
 def given_idle(context):
-    connections = Connections(limit=9)
+    connections = ConnectionTracker(limit=9)
     for values in ({"lang": "1"}, {}, {"lang": "2"}):
         connections.opening += 1
-        connections.opened(FakeConn(5.0, values))
+        connections.add_opened(FakeConn(5.0, values))
     context.connections = connections
 
 
--- a/features/steps/session_properties.py
+++ b/features/steps/session_properties.py
@@ -25,17 +25,17 @@
 from bamboospring.blackboard import TargetState
 from bamboospring.blackboard import TermStart
 from bamboospring.routing import choose_read
-from bamboospring.routing import confirmed_at
 from bamboospring.routing import Draws
-from bamboospring.routing import ReadAt
-from bamboospring.routing import ReadNeeds
+from bamboospring.routing import majority_confirmed_at
+from bamboospring.routing import MAX_REPORT_AGE
+from bamboospring.routing import ReadRequirements
 from bamboospring.routing import required_index
-from bamboospring.routing import SILENT_AFTER
+from bamboospring.routing import SendRead
 from bamboospring.statements import Position
-from bamboospring.tokens import BadToken
-from bamboospring.tokens import Session
+from bamboospring.tokens import InvalidToken
+from bamboospring.tokens import SessionPositions
+from bamboospring.tokens import SigningKey
 from bamboospring.tokens import TokenCodec
-from bamboospring.tokens import TokenKey
 
 __all__ = [
     "changed_token_is_refused",
@@ -50,8 +50,8 @@
 NOW = 100.0
 NEVER = -1e9
 SITES = ("old", "new")
-OLD_KEY = TokenKey(id="k1", secret=b"first secret of the check")
-NEW_KEY = TokenKey(id="k2", secret=b"second secret of the check")
+OLD_KEY = SigningKey(id="k1", secret=b"first secret of the check")
+NEW_KEY = SigningKey(id="k2", secret=b"second secret of the check")
 
 names = st.text(min_size=1, max_size=20)
 positions = st.builds(
@@ -60,7 +60,7 @@
     index=st.integers(0, 2**60),
 )
 sessions = st.builds(
-    Session,
+    SessionPositions,
     caller=names,
     positions=st.dictionaries(names, positions, max_size=8),
 )
@@ -149,7 +149,7 @@
 
 
 needs = st.builds(
-    ReadNeeds,
+    ReadRequirements,
     token=st.builds(
         Position, term=st.integers(0, 2), index=st.integers(0, 60)
     ),
@@ -167,13 +167,15 @@
 draws = st.builds(Draws, site=unit, first=unit, second=unit)
 
 
-def choose(group: Group, row: TableRow, need: ReadNeeds, drawn: Draws) -> Any:
+def choose(
+    group: Group, row: TableRow, need: ReadRequirements, drawn: Draws
+) -> Any:
     return choose_read(group, row, need, zone="zone-1", now=NOW, draws=drawn)
 
 
 @fixed
 @given(session=sessions)
-def token_round_trip(session: Session) -> None:
+def token_round_trip(session: SessionPositions) -> None:
     codec = TokenCodec(keys=[OLD_KEY])
     token = codec.encode(session)
     found = codec.decode(token)
@@ -189,7 +191,9 @@
 @given(
     session=sessions, place=st.integers(0, 10_000), shift=st.integers(1, 63)
 )
-def changed_token_is_refused(session: Session, place: int, shift: int) -> None:
+def changed_token_is_refused(
+    session: SessionPositions, place: int, shift: int
+) -> None:
     codec = TokenCodec(keys=[OLD_KEY])
     token = codec.encode(session)
     alphabet = (
@@ -200,30 +204,30 @@
     changed = token[:place] + other + token[place + 1 :]
     found = codec.decode(changed)
     # The last character has unused bits: it may stand for the same bytes.
-    assert isinstance(found, BadToken) or (
+    assert isinstance(found, InvalidToken) or (
         place == len(token) - 1 and found == session
     )
-    stranger = TokenCodec(keys=[TokenKey(id="k1", secret=b"another secret")])
-    assert isinstance(stranger.decode(token), BadToken)
-    assert isinstance(codec.decode_transaction(token), BadToken)
+    stranger = TokenCodec(keys=[SigningKey(id="k1", secret=b"another secret")])
+    assert isinstance(stranger.decode(token), InvalidToken)
+    assert isinstance(codec.decode_transaction(token), InvalidToken)
 
 
 @fixed
 @given(session=sessions)
-def keys_rotate(session: Session) -> None:
+def keys_rotate(session: SessionPositions) -> None:
     before = TokenCodec(keys=[OLD_KEY])
     both = TokenCodec(keys=[NEW_KEY, OLD_KEY])
     after = TokenCodec(keys=[NEW_KEY])
     assert both.decode(before.encode(session)) == session
     assert after.decode(both.encode(session)) == session
-    assert isinstance(after.decode(before.encode(session)), BadToken)
+    assert isinstance(after.decode(before.encode(session)), InvalidToken)
     renewed = both.encode(both.decode(before.encode(session)))
     assert after.decode(renewed) == session
 
 
 @fixed
 @given(one=sessions, two=sessions)
-def merge_covers_both(one: Session, two: Session) -> None:
+def merge_covers_both(one: SessionPositions, two: SessionPositions) -> None:
     merged = one.merged(two)
     for group in {*one.positions, *two.positions}:
         expected = max(one.position(group), two.position(group))
@@ -233,10 +237,10 @@
 @fixed
 @given(group=groups(), row=rows, need=needs, drawn=draws)
 def choice_is_safe(
-    group: Group, row: TableRow, need: ReadNeeds, drawn: Draws
+    group: Group, row: TableRow, need: ReadRequirements, drawn: Draws
 ) -> None:
     choice = choose(group, row, need, drawn)
-    if not isinstance(choice, ReadAt):
+    if not isinstance(choice, SendRead):
         return
     record = group.record
     state = group.state(choice.target.name)
@@ -244,9 +248,9 @@
     assert choice.min_index == required_index(record, need.token)
     assert choice.term == state.term
     assert choice.target.name not in need.excluded
-    assert NOW - state.seen_at <= SILENT_AFTER
+    assert NOW - state.seen_at <= MAX_REPORT_AGE
     if need.fresh_since is not None:
-        assert confirmed_at(group) >= need.fresh_since
+        assert majority_confirmed_at(group) >= need.fresh_since
     if choice.replica:
         assert state.applied >= choice.min_index
         assert state.last_term == record.term
@@ -266,7 +270,7 @@
 @fixed
 @given(group=groups(), row=rows, need=needs, drawn=draws)
 def choice_is_made_where_possible(
-    group: Group, row: TableRow, need: ReadNeeds, drawn: Draws
+    group: Group, row: TableRow, need: ReadRequirements, drawn: Draws
 ) -> None:
     record = group.record
     index = required_index(record, need.token)
@@ -277,18 +281,19 @@
         and state.last_term == record.term
         and state.applied >= index
         and not state.leaving
-        and NOW - state.seen_at <= SILENT_AFTER
+        and NOW - state.seen_at <= MAX_REPORT_AGE
         and target.name not in need.excluded
         and target.name not in row.leaving_targets
         and (not row.read_weights or row.read_weights.get(target.site, 0))
         and (
             need.fresh_since is None
-            or min(state.fresh_at, confirmed_at(group)) >= need.fresh_since
+            or min(state.fresh_at, majority_confirmed_at(group))
+            >= need.fresh_since
         )
     ]
     assume(able and need.token.term <= record.term)
     choice = choose(group, row, need, drawn)
-    assert isinstance(choice, ReadAt)
+    assert isinstance(choice, SendRead)
     assert choice.target in able
 
 
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -18,9 +18,9 @@
 from bamboospring.testing.caller import Caller
 from bamboospring.testing.fleet import TOKEN_KEYS
 from bamboospring.testing.fleet import wait_until
-from bamboospring.tokens import Session
+from bamboospring.tokens import SessionPositions
+from bamboospring.tokens import SigningKey
 from bamboospring.tokens import TokenCodec
-from bamboospring.tokens import TokenKey
 
 INSERT = "INSERT INTO entries (body) VALUES (?)"
 COUNT = "SELECT count(*) FROM entries"
@@ -31,10 +31,10 @@
 def signed(position: Position) -> str:
     """Return a token that the fleet takes for its own."""
     keys = [
-        TokenKey(id=key["id"], secret=key["secret"].encode())
+        SigningKey(id=key["id"], secret=key["secret"].encode())
         for key in TOKEN_KEYS
     ]
-    session = Session(caller="tester", positions={GROUP: position})
+    session = SessionPositions(caller="tester", positions={GROUP: position})
     return TokenCodec(keys=keys).encode(session)
 
 
--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -22,22 +22,22 @@
 from hypothesis import strategies as st
 
 from bamboospring.shares import GroupShares
-from bamboospring.shares import ListWatch
 from bamboospring.shares import Reply
 from bamboospring.shares import ShareTiming
 from bamboospring.shares import split
+from bamboospring.shares import TargetCapacity
 from bamboospring.shares import TargetLimit
-from bamboospring.shares import Units
+from bamboospring.shares import VmListMonitor
 
 LIMIT = 5
 HOLDERS = 3
 NAMES = ("a", "b", "c", "d", "e")
 LAG = 0.5
-TIMING = ShareTiming(grace=4.0, isolation=1.5, retry=0.5)
+TIMING = ShareTiming(grace_period=4.0, isolation_timeout=1.5, retry=0.5)
 
 
 def limits_of(connections):
-    units = Units(slots=3, connections=connections)
+    units = TargetCapacity(slots=3, connections=connections)
     return (TargetLimit(target="t", units=units),)
 
 
@@ -45,15 +45,15 @@
     """One run of a VM: its shares, what it uses and what it has seen."""
 
     def __init__(self, name):
-        self.watch = ListWatch(me=name, timing=TIMING)
-        self.shares = GroupShares(watch=self.watch)
+        self.watch = VmListMonitor(local_vm_name=name, timing=TIMING)
+        self.shares = GroupShares(vm_list_monitor=self.watch)
         self.seen = -1
         self.paused = False
         self.used = 0
 
     def set_used(self, count):
         self.used = count
-        self.shares.use("t", Units(connections=count))
+        self.shares.use("t", TargetCapacity(connections=count))
 
 
 class Fleet(RuleBasedStateMachine):
@@ -106,8 +106,8 @@
         seen = max(process.seen, newest)
         process.seen = seen
         listed = self.lists[seen]
-        process.watch.see(now=self.now, revision=seen + 1, listed=listed)
-        process.shares.see(
+        process.watch.update(now=self.now, revision=seen + 1, listed=listed)
+        process.shares.update(
             now=self.now,
             holders=tuple(sorted(listed, reverse=True))[:HOLDERS],
             peers=frozenset(NAMES),
@@ -137,7 +137,7 @@
         process = self.processes.get(name)
         if process is None:
             del self.gone[name]
-        elif self.now - since >= TIMING.grace - 1.0 and (
+        elif self.now - since >= TIMING.grace_period - 1.0 and (
             process.paused or name not in self.cut
         ):
             del self.processes[name]
@@ -282,13 +282,13 @@
     "a share grows without a promise": {"_may_use": lambda self, now: set()},
     "promises from before a change count": {"_forget": lambda self: None},
     "what is still used is ignored": {
-        "_excess": lambda self, vm, position: Units()
+        "_excess": lambda self, vm, position: TargetCapacity()
     },
     "a VM off the list is forgotten": {"lingering": lambda self, now: set()},
     "any list of holders is agreed to": {"answer": agree_to_all},
     "a share is kept after a change": {
         "_shrink": lambda self: None,
-        "held": lambda self, target: self._used.get(target, Units()),
+        "held": lambda self, target: self._used.get(target, TargetCapacity()),
     },
     "a new VM trusts its first list": {"is_informed": lambda self, now: True},
     "a cut-off VM keeps its share": {"_isolated": lambda self, now: None},
@@ -325,7 +325,7 @@
 
 
 def new_shares(name):
-    return GroupShares(watch=ListWatch(me=name))
+    return GroupShares(vm_list_monitor=VmListMonitor(local_vm_name=name))
 
 
 def see(context, holders, peers):
@@ -367,7 +367,7 @@
 
 @when("VM d takes the place of c, which still uses 2")
 def step_replace(context):
-    context.shares["c"].use("t", Units(connections=2))
+    context.shares["c"].use("t", TargetCapacity(connections=2))
     context.shares["d"] = new_shares("d")
     see(context, "abd", "abcd")
     pass_time(context, 1)
@@ -381,15 +381,15 @@
         first.watch.tick(now=context.now)
         for ask in first.tick(now=context.now):
             deliver_until_served(context, "a", ask)
-        if first.allowed("t") != Units():
+        if first.allowed("t") != TargetCapacity():
             break
-    assert first.allowed("t") != Units(), "a never got its share"
+    assert first.allowed("t") != TargetCapacity(), "a never got its share"
     pass_time(context, 3, cut="a")
 
 
 def deliver_until_served(context, name, ask):
     """Take a question there and its answer back, until a serves and dies."""
-    if context.shares["a"].allowed("t") != Units():
+    if context.shares["a"].allowed("t") != TargetCapacity():
         return
     asker, other = context.shares[name], context.shares[ask.vm]
     other.watch.tick(now=context.now)
@@ -406,7 +406,7 @@
 
 @when("VM c has closed its connections")
 def step_closed(context):
-    context.shares["c"].use("t", Units())
+    context.shares["c"].use("t", TargetCapacity())
     pass_time(context, 1)
 
 
@@ -435,7 +435,9 @@
 def step_seeded(context, fault):
     with ExitStack() as stack:
         for name, broken in FAULTS[fault].items():
-            owner = ListWatch if hasattr(ListWatch, name) else GroupShares
+            owner = (
+                VmListMonitor if hasattr(VmListMonitor, name) else GroupShares
+            )
             patch = mock.patch.object(owner, name, broken)
             stack.enter_context(patch)
         try:
--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -31,7 +31,7 @@
 from bamboospring.suspicion import TargetWatch
 from bamboospring.suspicion import Verdict
 from bamboospring.suspicion import WatchTiming
-from bamboospring.target_api import Probe
+from bamboospring.target_api import ProbeResult
 from bamboospring.witnesses import Witnesses
 
 TIMING = WatchTiming()
@@ -169,16 +169,16 @@
     context.change = change
 
 
-def make_probe(name: str) -> Probe:
+def make_probe(name: str) -> ProbeResult:
     """Return what a healthy member says of itself."""
-    return Probe(
+    return ProbeResult(
         target=name,
         term=1,
         role=Role.PRIMARY if name == "m1" else Role.REPLICA,
         received=5,
         applied=5,
         last_term=1,
-        start=1,
+        term_start=1,
         leaving=False,
     )
 
--- a/features/steps/transaction_steps.py
+++ b/features/steps/transaction_steps.py
@@ -19,8 +19,8 @@
 from bamboospring.testing.fleet import TOKEN_KEYS
 from bamboospring.testing.fleet import wait_until
 from bamboospring.testing.operator import Operator
+from bamboospring.tokens import SigningKey
 from bamboospring.tokens import TokenCodec
-from bamboospring.tokens import TokenKey
 from bamboospring.tokens import TransactionHandle
 
 INSERT = "INSERT INTO entries (body) VALUES (?)"
@@ -32,7 +32,7 @@
 def read_handle(text: str) -> TransactionHandle:
     """Return what a handle of the fleet says."""
     keys = [
-        TokenKey(id=key["id"], secret=key["secret"].encode())
+        SigningKey(id=key["id"], secret=key["secret"].encode())
         for key in TOKEN_KEYS
     ]
     handle = TokenCodec(keys=keys).decode_transaction(text)
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -16,10 +16,10 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from bamboospring.answer_times import AnswerTimes
+from bamboospring.adaptive_timeout import AdaptiveTimeout
 from bamboospring.blackboard import Target
-from bamboospring.connections import Connections
 from bamboospring.connections import ConnectionTiming
+from bamboospring.connections import ConnectionTracker
 from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpLost
 from bamboospring.http_client import TIMED_OUT
@@ -33,7 +33,7 @@
 from bamboospring import platform_client
 from bamboospring.platform_client import CallTiming
 from bamboospring.platform_client import PlatformClient
-from bamboospring.pool import Leased
+from bamboospring.pool import LeasedConnection
 from bamboospring.pool import Pool
 from bamboospring.pool import PoolTiming
 from bamboospring.pools import Pools
@@ -47,7 +47,7 @@
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.target_control import NoReport
 from bamboospring.sessions.target_control import TargetControl
-from bamboospring.shares import Units
+from bamboospring.shares import TargetCapacity
 from bamboospring.target_link import Health
 from bamboospring.target_link import Opened
 from bamboospring.target_link import OpenFailed
@@ -163,12 +163,12 @@
             queue_limit=64,
             timing=PoolTiming(
                 connect_timeout=CONNECT_TIMEOUT,
-                connections=ConnectionTiming(pace=0.005),
+                connections=ConnectionTiming(open_interval=0.005),
                 breaker=LINK_BREAKER,
             ),
-            chance=lambda: 0.5,
+            random_float=lambda: 0.5,
         )
-        self.pool.set_share(Units(slots=SLOTS, connections=SLOTS))
+        self.pool.set_share(TargetCapacity(slots=SLOTS, connections=SLOTS))
         self._tick()
 
     def _tick(self) -> None:
@@ -186,17 +186,17 @@
         asked_at = self.asked_at[number] = self.clock.now()
 
         def ready(result: Any) -> None:
-            if isinstance(result, Leased):
+            if isinstance(result, LeasedConnection):
                 self.clock.call_later(self.work, lambda: served(result))
                 return
             self.ended[number] = result.reason.value
 
-        def served(leased: Leased[Any]) -> None:
+        def served(leased: LeasedConnection[Any]) -> None:
             self.pool.release(leased, healthy=True)
             self.ended[number] = "served"
 
         self.pool.acquire(
-            f"caller {number}", asked_at + seconds, ready, writes=False
+            f"caller {number}", asked_at + seconds, ready, is_write=False
         )
         return number
 
@@ -309,7 +309,9 @@
         reactor=world.clock,
         make_dialer=lambda target, on_ended: world.dialer,
     )
-    pools.pool(world.pool.target).set_share(Units(slots=2, connections=2))
+    pools.pool(world.pool.target).set_share(
+        TargetCapacity(slots=2, connections=2)
+    )
     questions = TargetControl(reactor=world.clock, pools=pools)
     context.reports = []
     questions.ask(group, "t", AskReport(), 0.8, context.reports.append)
@@ -358,13 +360,13 @@
 
 @given("five connections at rest of which {kept:d} may rest for {idle:g} s")
 def given_resting(context: Any, kept: int, idle: float) -> None:
-    timing = ConnectionTiming(idle_spare=0.1)
-    context.connections = Connections[Resting](timing=timing, limit=8)
-    context.connections.idle_limit = idle
-    context.connections.idle_kept = kept
+    timing = ConnectionTiming(spare_idle_timeout=0.1)
+    context.connections = ConnectionTracker[Resting](timing=timing, limit=8)
+    context.connections.idle_timeout = idle
+    context.connections.max_kept_idle = kept
     for used_at in (0.00, 0.04, 0.02, 0.01, 0.03):
-        context.connections.opening_one(used_at, draw=0.5)
-        context.connections.opened(Resting(used_at=used_at))
+        context.connections.record_opening(used_at, draw=0.5)
+        context.connections.add_opened(Resting(used_at=used_at))
 
 
 @then("at {at:g} those used at {times} are closed")
@@ -416,9 +418,9 @@
 def given_answers(
     context: Any, first: float, second: float, third: float
 ) -> None:
-    context.times = AnswerTimes(least=0.25)
+    context.times = AdaptiveTimeout(min_timeout=0.25)
     for seconds in (first, second, third):
-        context.times.answered(seconds)
+        context.times.record_answer(seconds)
 
 
 @then("the next is waited for {seconds:g} s")
--- a/features/steps/wire_steps.py
+++ b/features/steps/wire_steps.py
@@ -37,7 +37,7 @@
 from bamboospring.retry_budget import RetryBudget
 from bamboospring.statements import Position
 from bamboospring.statements import Statement
-from bamboospring.statements import Step
+from bamboospring.statements import StepKind
 from bamboospring.testing.caller import Caller
 from bamboospring.wire import decode_outcome
 from bamboospring.wire import decode_statement
@@ -57,7 +57,7 @@
     params=arrays,
     # Eighths of a second are exact as milliseconds and as floats.
     deadline=st.integers(0, 400).map(lambda n: n / 8),
-    step=st.sampled_from(Step),
+    step=st.sampled_from(StepKind),
     transaction=texts,
     key=texts,
     token=st.builds(Position, term=whole, index=whole),
--- a/features/steps/zone_holders_steps.py
+++ b/features/steps/zone_holders_steps.py
@@ -271,7 +271,7 @@
                 connections=LINK_TIMING,
                 breaker=LINK_BREAKER,
             ),
-            chance=crowd.chance.random,
+            random_float=crowd.chance.random,
         )
         self.holders = ZoneHolders(vm=self.listed.name)
         self.server = HolderServer(
@@ -573,9 +573,9 @@
 
 @given("a limit of {most:d} that refusals at {times} have lowered")
 def given_limit(context: Any, most: int, times: str) -> None:
-    context.limit = ConcurrencyLimit(most=most)
+    context.limit = ConcurrencyLimit(maximum=most)
     for at in times.replace(" and ", ", ").split(", "):
-        context.limit.refused(float(at))
+        context.limit.record_refusal(float(at))
 
 
 @then(
