--- a/bamboospring/blackboard.py
+++ b/bamboospring/blackboard.py
@@ -100,7 +100,7 @@
     primary: str = ""
     starts: tuple[TermStart, ...] = ()
     settled: tuple[str, ...] = ()
-    torn: bool = False
+    majority_overlap_lost: bool = False
     version: int = 0
 
 
@@ -122,9 +122,9 @@
     last_term: int = 0
     leaving: bool = False
     asked_at: float = -1e9
-    seen_at: float = -1e9
-    fresh_at: float = -1e9
-    outstanding: int = 0
+    last_response_at: float = -1e9
+    caught_up_at: float = -1e9
+    in_flight: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -168,7 +168,7 @@
     vm: str = ""
     version: int = 0
     duration: float = 0.0
-    seen_at: float = -1e9
+    version_seen_at: float = -1e9
     valid_until: float = -1e9
 
 
@@ -200,7 +200,7 @@
     me: Vm
     vms: dict[str, Vm] = field(default_factory=dict)
     vms_revision: int = 0
-    vms_seen_at: float = -1e9
+    vms_confirmed_at: float = -1e9
     groups: dict[str, Group] = field(default_factory=dict)
     group_names: set[str] = field(default_factory=set)
     names_complete: bool = False
--- a/bamboospring/change_base.py
+++ b/bamboospring/change_base.py
@@ -15,8 +15,8 @@
 from bamboospring.change_actions import OrderKind
 from bamboospring.change_actions import ReadGroup
 from bamboospring.change_actions import UpdateGroup
-from bamboospring.change_plan import Phase
-from bamboospring.change_plan import Plan
+from bamboospring.change_plan import ChangePhase
+from bamboospring.change_plan import ChangePlan
 from bamboospring.commit import majority_size
 from bamboospring.target_api import ProbeResult
 
@@ -40,18 +40,18 @@
         *,
         group: str,
         targets: tuple[Target, ...],
-        plan: Plan,
+        plan: ChangePlan,
         nonce: str,
     ) -> None:
         self.group = group
         self.plan = plan
         self.nonce = nonce
-        self.phase = Phase.PROBE
+        self.phase = ChangePhase.PROBE
         self.reason = ""
         self.term = 0
         self.primary = ""
         self.record: GroupRecord | None = None
-        self.marks: list[tuple[Phase, float]] = []
+        self.marks: list[tuple[ChangePhase, float]] = []
         self._targets = {target.name: target for target in targets}
         self._object: GroupObject | None = None
         self._probes: dict[str, ProbeResult] = {}
@@ -67,19 +67,19 @@
         self._call_again_at = 0.0
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Tell whether nothing more will be done."""
-        return self.phase in (Phase.DONE, Phase.ENDED)
+        return self.phase in (ChangePhase.DONE, ChangePhase.ENDED)
 
     @property
-    def latest(self) -> GroupRecord | None:
+    def latest_record(self) -> GroupRecord | None:
         """Return the newest record that was seen, also after the end."""
         return self._object.record() if self._object is not None else None
 
     def _majority(self) -> int:
         return majority_size(len(self._targets))
 
-    def _enter(self, phase: Phase, now: float) -> None:
+    def _enter(self, phase: ChangePhase, now: float) -> None:
         self.phase = phase
         self._phase_at = now
         self._sent.clear()
@@ -87,7 +87,7 @@
 
     def _end(self, reason: str, now: float) -> list[Action]:
         self.reason = reason
-        self._enter(Phase.ENDED, now)
+        self._enter(ChangePhase.ENDED, now)
         return []
 
     def _order(
@@ -114,8 +114,12 @@
             if now - sent.at >= RESEND:
                 sent.at = now
                 actions.append(sent.order)
-        waits = self.phase in (Phase.PROBE, Phase.WIN, Phase.RECORD)
-        has_read = self.phase is Phase.PROBE and self._object is not None
+        waits = self.phase in (
+            ChangePhase.PROBE,
+            ChangePhase.WIN,
+            ChangePhase.RECORD,
+        )
+        has_read = self.phase is ChangePhase.PROBE and self._object is not None
         if waits and not has_read and not self._calling:
             if now >= self._call_again_at:
                 self._calling = True
--- a/bamboospring/change_object.py
+++ b/bamboospring/change_object.py
@@ -13,7 +13,7 @@
 from bamboospring.change_actions import UpdateGroup
 from bamboospring.change_base import ChangeBase
 from bamboospring.change_base import RESEND
-from bamboospring.change_plan import Phase
+from bamboospring.change_plan import ChangePhase
 
 __all__ = ["ObjectUpdates"]
 
@@ -23,23 +23,23 @@
 class ObjectUpdates(ChangeBase):
     """Win the term and record the primary, by conditional updates."""
 
-    def updated(self, version: int, now: float) -> list[Action]:
+    def on_updated(self, version: int, now: float) -> list[Action]:
         """Take in that our update was done."""
         self._calling = False
         update = self._update
-        if self.over or update is None:
+        if self.is_over or update is None:
             return []
         stored = GroupObject(
             name=self.group, version=version, value=update.value
         )
         return self._resolve(stored, now)
 
-    def conflicted(self, found: GroupObject, now: float) -> list[Action]:
+    def on_conflict(self, found: GroupObject, now: float) -> list[Action]:
         """Take in that the object was at another version."""
         self._calling = False
-        return [] if self.over else self._resolve(found, now)
+        return [] if self.is_over else self._resolve(found, now)
 
-    def unanswered(self, now: float) -> list[Action]:
+    def on_update_unanswered(self, now: float) -> list[Action]:
         """Take in that nothing is known of our update: read it back."""
         self._call_again_at = now + RESEND
         self._calling = False
@@ -49,7 +49,7 @@
         assert self._object is not None
         known = max(probe.term for probe in self._probes.values())
         term = max(int(self._object.value.get("term", 0)), known) + 1
-        self._enter(Phase.WIN, now)
+        self._enter(ChangePhase.WIN, now)
         return self._put({"term": term, "primary": ""})
 
     def _put(self, fields: dict[str, Any]) -> list[Action]:
@@ -87,10 +87,10 @@
             return self._put(
                 {key: update.value[key] for key in ours if key in update.value}
             )
-        if self.phase is Phase.WIN:
+        if self.phase is ChangePhase.WIN:
             return self._won(now)
         self.record = found.record()
-        self._enter(Phase.DONE, now)
+        self._enter(ChangePhase.DONE, now)
         return []
 
     def _put_record(self) -> list[Action]:
--- a/bamboospring/change_pause.py
+++ b/bamboospring/change_pause.py
@@ -8,7 +8,7 @@
 from bamboospring.change_actions import Order
 from bamboospring.change_actions import OrderKind
 from bamboospring.change_object import ObjectUpdates
-from bamboospring.change_plan import Phase
+from bamboospring.change_plan import ChangePhase
 from bamboospring.primary_choice import log_end
 from bamboospring.target_api import ProbeResult
 
@@ -30,7 +30,7 @@
             return []
         if not self._is_nearly_caught_up(record, primary):
             return self._end("the chosen target is behind", now)
-        self._enter(Phase.PAUSE, now)
+        self._enter(ChangePhase.PAUSE, now)
         target = self._targets[record.primary]
         return [self._order(OrderKind.PAUSE, target, now, record.term)]
 
@@ -52,7 +52,7 @@
         if not accepted:
             return self._give_up_pause(now)
         self._pause_end = log_end(probe)
-        self._enter(Phase.CATCH_UP, now)
+        self._enter(ChangePhase.CATCH_UP, now)
         return [self._probe_chosen(now)]
 
     def _probe_chosen(self, now: float) -> Order:
--- a/bamboospring/change_plan.py
+++ b/bamboospring/change_plan.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-__all__ = ["Cause", "Phase", "Plan"]
+__all__ = ["ChangeCause", "ChangePhase", "ChangePlan"]
 
 
-class Cause(str, Enum):
+class ChangeCause(str, Enum):
     """Why a primary is changed."""
 
     NO_PRIMARY = "no_primary"
@@ -19,12 +19,16 @@
     WRITE_WEIGHT = "write_weight"
 
     @property
-    def planned(self) -> bool:
+    def is_planned(self) -> bool:
         """Tell whether the old primary works and writes can be paused."""
-        return self in (Cause.ORDERED, Cause.LEAVING, Cause.WRITE_WEIGHT)
+        return self in (
+            ChangeCause.ORDERED,
+            ChangeCause.LEAVING,
+            ChangeCause.WRITE_WEIGHT,
+        )
 
 
-class Phase(str, Enum):
+class ChangePhase(str, Enum):
     """Where a change stands."""
 
     PROBE = "probe"
@@ -39,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Plan:
+class ChangePlan:
     """Why a primary is changed, and which targets to prefer, best first.
 
     `term` and `primary` are those of the record that was judged; the change
@@ -47,7 +51,7 @@
     steward itself hears a primary that others take for failed.
     """
 
-    cause: Cause
+    cause: ChangeCause
     term: int
     primary: str
     preferred: tuple[str, ...] = ()
@@ -56,4 +60,4 @@
     @property
     def failed(self) -> str:
         """Return the primary for which nobody waits, or empty."""
-        return "" if self.cause.planned else self.primary
+        return "" if self.cause.is_planned else self.primary
--- a/bamboospring/change_runner.py
+++ b/bamboospring/change_runner.py
@@ -20,17 +20,17 @@
 from bamboospring.platform_client import Rejected
 from bamboospring.platform_client import Stored
 from bamboospring.platform_client import Unavailable
-from bamboospring.promotion import Action
-from bamboospring.promotion import Change
-from bamboospring.promotion import GroupObject
-from bamboospring.promotion import Order
-from bamboospring.promotion import Phase
-from bamboospring.promotion import Plan
-from bamboospring.promotion import ReadGroup
-from bamboospring.promotion import UpdateGroup
+from bamboospring.primary_change import Action
+from bamboospring.primary_change import ChangePhase
+from bamboospring.primary_change import ChangePlan
+from bamboospring.primary_change import GroupObject
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import PrimaryChange
+from bamboospring.primary_change import ReadGroup
+from bamboospring.primary_change import UpdateGroup
 from bamboospring.reactor import Reactor
 from bamboospring.rendezvous import shard_of
-from bamboospring.steward_care import Care
+from bamboospring.steward_state import StewardGroupState
 from bamboospring.target_api import ProbeResult
 from bamboospring.target_orders import send_order
 
@@ -75,11 +75,17 @@
         self._changes = 0
         self.round = ROUND
 
-    def begin(self, name: str, group: Group, care: Care, plan: Plan) -> None:
+    def begin(
+        self,
+        name: str,
+        group: Group,
+        care: StewardGroupState,
+        plan: ChangePlan,
+    ) -> None:
         """Begin a change of the group's primary."""
         now = self._reactor.now()
         self._changes += 1
-        change = Change(
+        change = PrimaryChange(
             group=name,
             targets=group.record.targets,
             plan=plan,
@@ -97,18 +103,24 @@
         self._apply(name, care, change.begin(now))
         self._tick_change(name, care, change)
 
-    def _witnesses(self, care: Care, plan: Plan, now: float) -> str:
+    def _witnesses(
+        self, care: StewardGroupState, plan: ChangePlan, now: float
+    ) -> str:
         found = care.suspicions.witnesses(plan.primary, plan.term, now)
         return ",".join(sorted(report.vm for report in found))
 
-    def _tick_change(self, name: str, care: Care, change: Change) -> None:
+    def _tick_change(
+        self, name: str, care: StewardGroupState, change: PrimaryChange
+    ) -> None:
         if care.change is not change:
             return
         self._apply(name, care, change.tick(self._reactor.now()))
         again = partial(self._tick_change, name, care, change)
         self._reactor.call_later(CHANGE_TICK, again)
 
-    def _apply(self, name: str, care: Care, actions: list[Action]) -> None:
+    def _apply(
+        self, name: str, care: StewardGroupState, actions: list[Action]
+    ) -> None:
         change = care.change
         if change is None:
             return
@@ -123,25 +135,31 @@
                     self._read(name, care, change)
                 case UpdateGroup():
                     self._update(name, care, change, action)
-        if change.over and care.change is change:
+        if change.is_over and care.change is change:
             self._finish(name, care, change)
 
     def _order(
-        self, name: str, care: Care, change: Change, order: Order
+        self,
+        name: str,
+        care: StewardGroupState,
+        change: PrimaryChange,
+        order: Order,
     ) -> None:
         def answered(done: bool, probe: ProbeResult | None) -> None:
             if care.change is not change:
                 return
             now = self._reactor.now()
             if probe is None:
-                self._apply(name, care, change.lost(order, now))
+                self._apply(name, care, change.on_no_answer(order, now))
             else:
-                found = change.answered(order, done, probe, now)
+                found = change.on_answer(order, done, probe, now)
                 self._apply(name, care, found)
 
         send_order(self._reactor, order, answered)
 
-    def _read(self, name: str, care: Care, change: Change) -> None:
+    def _read(
+        self, name: str, care: StewardGroupState, change: PrimaryChange
+    ) -> None:
         def on_result(result: Found | Missing | Unavailable) -> None:
             if care.change is not change:
                 return
@@ -151,12 +169,16 @@
                     name=name, version=result.version, value=result.value
                 )
             now = self._reactor.now()
-            self._apply(name, care, change.read(found, now))
+            self._apply(name, care, change.on_object_read(found, now))
 
         self._platform.get("group", name, self._lane(name), on_result)
 
     def _update(
-        self, name: str, care: Care, change: Change, update: UpdateGroup
+        self,
+        name: str,
+        care: StewardGroupState,
+        change: PrimaryChange,
+        update: UpdateGroup,
     ) -> None:
         def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
@@ -166,14 +188,14 @@
             now = self._reactor.now()
             match result:
                 case Stored():
-                    actions = change.updated(result.version, now)
+                    actions = change.on_updated(result.version, now)
                 case Conflict() if result.value is not None:
                     found = GroupObject(
                         name=name, version=result.version, value=result.value
                     )
-                    actions = change.conflicted(found, now)
+                    actions = change.on_conflict(found, now)
                 case _:
-                    actions = change.unanswered(now)
+                    actions = change.on_update_unanswered(now)
             self._apply(name, care, actions)
 
         self._platform.put(
@@ -188,13 +210,15 @@
     def _lane(self, name: str) -> str:
         return f"group/change-{shard_of(name) % LANES}"
 
-    def _finish(self, name: str, care: Care, change: Change) -> None:
+    def _finish(
+        self, name: str, care: StewardGroupState, change: PrimaryChange
+    ) -> None:
         care.change = None
         care.probes.clear()
         now = self._reactor.now()
-        if change.latest is not None:
-            self._publish(change.latest)
-        if change.phase is Phase.DONE:
+        if change.latest_record is not None:
+            self._publish(change.latest_record)
+        if change.phase is ChangePhase.DONE:
             care.failures = 0
             care.ordered = ""
             care.condemned_at = None
@@ -205,8 +229,8 @@
             care.retry_at = now + wait * (0.5 + self._chance() / 2)
         self._log_end(name, change, now)
 
-    def _log_end(self, name: str, change: Change, now: float) -> None:
-        done = change.phase is Phase.DONE
+    def _log_end(self, name: str, change: PrimaryChange, now: float) -> None:
+        done = change.phase is ChangePhase.DONE
         logs.log_event(
             "primary_changed" if done else "primary_change_ended",
             level=logs.Level.INFO if done else logs.Level.WARNING,
@@ -218,7 +242,7 @@
             **_durations(change),
         )
 
-    def drop(self, name: str, care: Care) -> None:
+    def drop(self, name: str, care: StewardGroupState) -> None:
         """Give up a change whose lease was lost."""
         if care.change is None:
             return
@@ -233,7 +257,7 @@
         care.change = None
 
 
-def _durations(change: Change) -> dict[str, float]:
+def _durations(change: PrimaryChange) -> dict[str, float]:
     """Return the milliseconds that each step took."""
     marks = change.marks
     return {
--- a/bamboospring/commit.py
+++ b/bamboospring/commit.py
@@ -66,7 +66,7 @@
 
 def held_by_majority(group: Group, position: Position) -> bool:
     """Tell whether a majority of the group's targets holds a position."""
-    if group.record.torn:
+    if group.record.majority_overlap_lost:
         return False
     needed = majority_size(len(group.record.targets))
     return count_holding(group, position) >= needed
--- a/bamboospring/confirm.py
+++ b/bamboospring/confirm.py
@@ -151,7 +151,7 @@
         self._confirmed[group.record.name] = (group.record.term, asked_at)
         for target in level:
             state = group.state(target)
-            state.fresh_at = max(state.fresh_at, asked_at)
+            state.caught_up_at = max(state.caught_up_at, asked_at)
 
     def _finish(self, name: str, begun: _Round, good: bool) -> None:
         """End the round; answers that come later still refresh facts."""
--- a/bamboospring/drain.py
+++ b/bamboospring/drain.py
@@ -23,11 +23,11 @@
 from bamboospring.events import drain_started
 from bamboospring.http_server import HttpServer
 from bamboospring import logs
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.reactor import Reactor
 
-__all__ = ["Drain", "DrainPlan", "Phase", "judge_phase"]
+__all__ = ["Drain", "DrainPlan", "DrainPhase", "drain_phase"]
 
 CHECK_INTERVAL = 0.05
 # Between the last word to the peers and the end: whatever an entry has sent
@@ -36,7 +36,7 @@
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-class Phase(Enum):
+class DrainPhase(Enum):
     """How far a shutdown has come."""
 
     NOTICE = "notice"
@@ -54,26 +54,26 @@
     request. After `limit` seconds it ends in any case.
     """
 
-    begun_at: float
-    notice: float
-    patience: float
-    limit: float
+    started_at: float
+    notice_period: float
+    idle_grace: float
+    max_duration: float
 
 
-def judge_phase(
+def drain_phase(
     plan: DrainPlan, *, now: float, work: int, connections: int
-) -> Phase:
+) -> DrainPhase:
     """Return the phase for what is under way and still connected."""
-    elapsed = now - plan.begun_at
-    if elapsed >= plan.limit:
-        return Phase.FAREWELL
-    if elapsed < plan.notice:
-        return Phase.NOTICE
+    elapsed = now - plan.started_at
+    if elapsed >= plan.max_duration:
+        return DrainPhase.FAREWELL
+    if elapsed < plan.notice_period:
+        return DrainPhase.NOTICE
     if work > 0:
-        return Phase.FINISHING
-    if connections > 0 and elapsed < plan.notice + plan.patience:
-        return Phase.FINISHING
-    return Phase.FAREWELL
+        return DrainPhase.FINISHING
+    if connections > 0 and elapsed < plan.notice_period + plan.idle_grace:
+        return DrainPhase.FINISHING
+    return DrainPhase.FAREWELL
 
 
 class Drain(BaseComponent):
@@ -117,10 +117,10 @@
         if self._plan is not None:
             return
         self._plan = DrainPlan(
-            begun_at=self._reactor.now(),
-            notice=self._notice,
-            patience=self._patience,
-            limit=self._limit,
+            started_at=self._reactor.now(),
+            notice_period=self._notice,
+            idle_grace=self._patience,
+            max_duration=self._limit,
         )
         self._board.draining = True
         self._callers.draining = True
@@ -140,15 +140,15 @@
 
     def _check(self) -> None:
         assert self._plan is not None
-        phase = judge_phase(
+        phase = drain_phase(
             self._plan,
             now=self._reactor.now(),
             work=sum(self._counts().values()),
             connections=len(self._callers.connections),
         )
-        if phase is not Phase.NOTICE:
+        if phase is not DrainPhase.NOTICE:
             self._callers.listener.drain()
-        if phase is Phase.FAREWELL:
+        if phase is DrainPhase.FAREWELL:
             self._tell_peers()
             self._reactor.call_later(FAREWELL, self._end)
         else:
@@ -157,7 +157,7 @@
     def _end(self) -> None:
         assert self._plan is not None
         left = self._counts()
-        took = self._reactor.now() - self._plan.begun_at
+        took = self._reactor.now() - self._plan.started_at
         level = logs.Level.WARNING if any(left.values()) else logs.Level.INFO
         logs.log_event("drain_ended", level=level, seconds=took, work=left)
         self._callers.drain()
@@ -168,7 +168,7 @@
         return {name: count() for name, count in self._work.items()}
 
     def _tell_peers(self) -> None:
-        message = envelope()
+        message = new_envelope()
         heartbeat = message.init("heartbeat")
         heartbeat.vm = self._board.me.name
         heartbeat.draining = True
--- a/bamboospring/entry_facts.py
+++ b/bamboospring/entry_facts.py
@@ -27,7 +27,7 @@
 from bamboospring import logs
 from bamboospring.membership import Membership
 from bamboospring.peer_sync import PeerSync
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.reactor import Reactor
@@ -157,7 +157,7 @@
     def _forget_gone(self) -> None:
         if self._kept != self._board.vms_revision:
             self._kept = self._board.vms_revision
-            self._membership.keep_only(self._board.vms)
+            self._membership.retain_vms(self._board.vms)
 
     def _report(self) -> None:
         """Tell the main process that we are here, then compare."""
@@ -168,7 +168,7 @@
             self._main_ready = not lost and answer.process.ready
             self._compare()
 
-        message = envelope()
+        message = new_envelope()
         report = message.init("process")
         report.vm = self._board.me.name
         report.address = self._board.me.address
@@ -209,7 +209,7 @@
             if not isinstance(answer, PeerLost):
                 self._take_names(orjson.loads(answer.groupFact.record))
 
-        message = envelope()
+        message = new_envelope()
         message.init("groupFact").record = orjson.dumps(
             {
                 "vm": self._board.me.name,
@@ -239,7 +239,7 @@
         answered = names & self._answered
         if self._main_answers and self._main.name not in answered:
             return
-        if not answered or not names <= self._tried or not self.sync.idle:
+        if not answered or not names <= self._tried or not self.sync.is_idle:
             return
         board.starting = False
         logs.log_event(
--- a/bamboospring/entry_processes.py
+++ b/bamboospring/entry_processes.py
@@ -13,7 +13,7 @@
 
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import Vm
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
 
@@ -44,7 +44,7 @@
         self._board = board
         self._now = now
         self._known: dict[str, _Known] = {}
-        peers.handle("process", self._on_report)
+        peers.add_handler("process", self._on_report)
 
     def addresses(self) -> dict[str, str]:
         """Return where to tell of news, by name: of those heard lately."""
@@ -86,7 +86,7 @@
         )
         if message.id == 0:
             return
-        answer = envelope()
+        answer = new_envelope()
         out = answer.init("process")
         out.vm = self._board.me.name
         out.ready = not self._board.starting
--- a/bamboospring/fact_store.py
+++ b/bamboospring/fact_store.py
@@ -20,14 +20,14 @@
 from bamboospring.events import placement_changed
 from bamboospring.events import table_changed
 from bamboospring.events import vms_changed
+from bamboospring.fact_versions import apply_group
+from bamboospring.fact_versions import apply_shard
+from bamboospring.fact_versions import apply_vms
 from bamboospring import logs
 from bamboospring.records import decode_shard
 from bamboospring.records import decode_vm
 from bamboospring.rendezvous import Placement
-from bamboospring.rendezvous import SHARDS
-from bamboospring.spread import take_group
-from bamboospring.spread import take_shard
-from bamboospring.spread import take_vms
+from bamboospring.rendezvous import SHARD_COUNT
 
 __all__ = ["FactStore"]
 
@@ -53,20 +53,20 @@
         self._now = now
         self._malformed: dict[int, int] = {}
 
-    def take_shard_value(self, name: str, version: int, value: Any) -> bool:
+    def apply_shard_value(self, name: str, version: int, value: Any) -> bool:
         """Take a table shard's object; a malformed one is only logged."""
         shard = int(name) if name.isdecimal() else -1
-        if not 0 <= shard < SHARDS or value is None:
+        if not 0 <= shard < SHARD_COUNT or value is None:
             return False
         decoded = decode_shard(shard, version, value)
         if decoded is None:
             self._log_malformed(shard, version)
             return False
-        return self.take_shard(decoded)
+        return self.apply_shard(decoded)
 
-    def take_shard(self, shard: TableShard) -> bool:
+    def apply_shard(self, shard: TableShard) -> bool:
         """Put a table shard in force if it is newer."""
-        if not take_shard(self.board, shard):
+        if not apply_shard(self.board, shard):
             return False
         logs.log_event(
             "table_in_force", shard=shard.shard, version=shard.version
@@ -75,9 +75,9 @@
         self._changed()
         return True
 
-    def take_group(self, record: GroupRecord) -> bool:
+    def apply_group(self, record: GroupRecord) -> bool:
         """Take a group's record if it is newer."""
-        if not take_group(self.board, record):
+        if not apply_group(self.board, record):
             return False
         logs.log_event(
             "group_record",
@@ -92,16 +92,16 @@
     def confirm_vms(self, revision: int) -> None:
         """Note that the platform has been read and has this list."""
         if revision == self.board.vms_revision:
-            self.board.vms_seen_at = self._now()
+            self.board.vms_confirmed_at = self._now()
 
-    def take_vms(self, revision: int, values: Iterable[Any]) -> bool:
+    def apply_vms(self, revision: int, values: Iterable[Any]) -> bool:
         """Take a list of VMs, given as JSON objects, if it is newer."""
         if revision <= self.board.vms_revision:
             # Also an equal list is news: the platform is being read.
-            take_vms(self.board, revision, (), self._now())
+            apply_vms(self.board, revision, (), self._now())
             return False
         vms = [vm for vm in map(decode_vm, values) if vm is not None]
-        take_vms(self.board, revision, vms, self._now())
+        apply_vms(self.board, revision, vms, self._now())
         self._place(vms)
         logs.log_event("vms", revision=revision, vms=len(vms))
         self._fire(vms_changed())
--- a/bamboospring/spread.py
+++ b/bamboospring/fact_versions.py
@@ -19,22 +19,22 @@
 from bamboospring.blackboard import GroupRecord
 from bamboospring.blackboard import TableShard
 from bamboospring.blackboard import Vm
-from bamboospring.rendezvous import SHARDS
+from bamboospring.rendezvous import SHARD_COUNT
 
 __all__ = [
-    "Lacking",
-    "Versions",
-    "digest_of",
-    "lacking",
-    "take_group",
-    "take_shard",
-    "take_vms",
-    "versions_of",
+    "NewerFacts",
+    "FactVersions",
+    "versions_digest",
+    "newer_facts",
+    "apply_group",
+    "apply_shard",
+    "apply_vms",
+    "fact_versions",
 ]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Versions:
+class FactVersions:
     """The versions that a process has; 0 is "none"."""
 
     vms_revision: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Lacking:
+class NewerFacts:
     """What one process has in a higher version than another."""
 
     vms: bool
@@ -52,17 +52,17 @@
         return self.vms or bool(self.shards)
 
 
-def versions_of(board: Blackboard) -> Versions:
+def fact_versions(board: Blackboard) -> FactVersions:
     """Return the versions of the blackboard's facts."""
     table = board.table
     shards = tuple(
         table[shard].version if shard in table else 0
-        for shard in range(SHARDS)
+        for shard in range(SHARD_COUNT)
     )
-    return Versions(vms_revision=board.vms_revision, shards=shards)
+    return FactVersions(vms_revision=board.vms_revision, shards=shards)
 
 
-def digest_of(versions: Versions) -> int:
+def versions_digest(versions: FactVersions) -> int:
     """Return a number that is the same for the same versions, never 0.
 
     64 bits: two that differ by chance look the same once in 10^19 times, and
@@ -72,16 +72,16 @@
     return xxh64_intdigest(" ".join(map(str, numbers)).encode()) or 1
 
 
-def lacking(mine: Versions, theirs: Versions) -> Lacking:
+def newer_facts(mine: FactVersions, theirs: FactVersions) -> NewerFacts:
     """Return what they have in a higher version."""
     pairs = enumerate(zip(mine.shards, theirs.shards, strict=False))
-    return Lacking(
+    return NewerFacts(
         vms=theirs.vms_revision > mine.vms_revision,
         shards=tuple(shard for shard, (ours, other) in pairs if other > ours),
     )
 
 
-def take_shard(board: Blackboard, shard: TableShard) -> bool:
+def apply_shard(board: Blackboard, shard: TableShard) -> bool:
     """Put a table shard in force if it is newer; say whether it was."""
     known = board.table.get(shard.shard)
     if known is not None and shard.version <= known.version:
@@ -90,7 +90,7 @@
     return True
 
 
-def take_group(board: Blackboard, record: GroupRecord) -> bool:
+def apply_group(board: Blackboard, record: GroupRecord) -> bool:
     """Take a group's record if it is newer; say whether it was."""
     group = board.groups.get(record.name)
     if group is None:
@@ -106,15 +106,15 @@
     return True
 
 
-def take_vms(
+def apply_vms(
     board: Blackboard, revision: int, vms: Iterable[Vm], now: float
 ) -> bool:
     """Take a list of VMs if it is newer; say whether it was."""
     if revision == board.vms_revision:
-        board.vms_seen_at = now
+        board.vms_confirmed_at = now
     if revision <= board.vms_revision:
         return False
     board.vms_revision = revision
     board.vms = {vm.name: vm for vm in vms}
-    board.vms_seen_at = now
+    board.vms_confirmed_at = now
     return True
--- a/bamboospring/fleet_view.py
+++ b/bamboospring/fleet_view.py
@@ -13,7 +13,7 @@
 
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import Vm
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
@@ -39,7 +39,7 @@
         self._board = board
         self._peers = peers
         self._describe = describe
-        peers.handle("status", self._on_question)
+        peers.add_handler("status", self._on_question)
 
     def gather(self, on_done: OnFleet) -> None:
         """Call back once with what all VMs say; silent ones are named."""
@@ -57,7 +57,7 @@
     def _on_question(self, message: Any, reply: Reply) -> None:
         if len(message.status.body):
             return
-        answer = envelope()
+        answer = new_envelope()
         answer.init("status").body = orjson.dumps(self._describe())
         reply(answer)
 
@@ -101,7 +101,7 @@
             return
         vm = self._waiting.pop(0)
         self._out += 1
-        question = envelope()
+        question = new_envelope()
         question.init("status")
 
         def answered(answer: Any) -> None:
--- a/bamboospring/forwarding.py
+++ b/bamboospring/forwarding.py
@@ -142,7 +142,7 @@
         self._budget.record_first_attempt()
         now = self._reactor.now()
         holders = self._placement.holders(stmt.group)
-        doubted = self._membership.avoided(holders, now)
+        doubted = self._membership.vms_to_avoid(holders, now)
         order = order_holders(
             holders,
             me=self._board.me.name,
@@ -188,7 +188,9 @@
         def answered(answer: Outcome | PeerLost) -> None:
             self._count(stmt.group, first.name, -1)
             if isinstance(answer, PeerLost):
-                self._membership.lost(first.name, self._reactor.now())
+                self._membership.record_failure(
+                    first.name, self._reactor.now()
+                )
                 outcome = _lost(stmt, answer)
                 again = not answer.sent or _harmless(stmt)
             else:
@@ -324,9 +326,9 @@
 
     def _note(self, vm: Vm, outcome: Outcome) -> None:
         now = self._reactor.now()
-        self._membership.heard(vm.name, now)
+        self._membership.record_contact(vm.name, now)
         if isinstance(outcome, NotRun) and outcome.reason is Reason.DRAINING:
-            self._membership.drains(vm.name, now)
+            self._membership.set_draining(vm.name, now)
 
 
 def _harmless(stmt: Statement) -> bool:
--- a/bamboospring/group_sync.py
+++ b/bamboospring/group_sync.py
@@ -26,7 +26,7 @@
 from bamboospring.fact_store import FactStore
 from bamboospring.group_placer import GroupPlacer
 from bamboospring import logs
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
@@ -40,7 +40,7 @@
 from bamboospring.rendezvous import bucket_of
 from bamboospring.rendezvous import Placement
 
-__all__ = ["GroupSync", "digest_names", "digest_versions", "needs_group"]
+__all__ = ["GroupSync", "digest_names", "digest_versions", "vms_needing_group"]
 
 ASK_TIMEOUT = 1.0
 REPAIR_INTERVAL = 4.0
@@ -50,7 +50,7 @@
 FIRST_RETRY = 0.2
 
 
-def needs_group(placement: Placement, group: str) -> set[str]:
+def vms_needing_group(placement: Placement, group: str) -> set[str]:
     """Return the names of the VMs that need a group's record."""
     vms = placement.holders(group)
     vms += placement.candidates(bucket_of(group))
@@ -103,7 +103,7 @@
             placement=placement,
             on_placed=lambda: self._store.note_placement(),
         )
-        peers.handle("groupFact", self._on_group_fact)
+        peers.add_handler("groupFact", self._on_group_fact)
 
     def start(self) -> None:
         """Ask a watcher now, then at each interval."""
@@ -124,7 +124,7 @@
 
     def publish(self, record: GroupRecord) -> None:
         """Take and spread a record that this VM has just stored."""
-        self._store.take_group(record)
+        self._store.apply_group(record)
         self._learn(record.name, record.version, encode_group(record))
         self._placer.place()
         self._send_to_needing(record.name)
@@ -187,7 +187,7 @@
         known here, so that no question brings it again, and never in force.
         """
         for name, known in self._all.items():
-            if self._board.me.name in needs_group(self._placement, name):
+            if self._board.me.name in vms_needing_group(self._placement, name):
                 self._take(name, known.version, known.value)
 
     def _learn(self, name: str, version: int, value: Any) -> bool:
@@ -197,14 +197,14 @@
             return False
         self._all[name] = _Known(version=version, value=value)
         self._board.group_names.add(name)
-        if self._board.me.name in needs_group(self._placement, name):
+        if self._board.me.name in vms_needing_group(self._placement, name):
             self._take(name, version, value)
         return True
 
     def _take(self, name: str, version: int, value: Any) -> None:
         record = decode_group(name, version, value)
         if record is not None:
-            self._store.take_group(record)
+            self._store.apply_group(record)
             return
         logs.log_event(
             "group_malformed",
@@ -218,7 +218,7 @@
         if state != self._index_of:
             self._index = {}
             for name in self._all:
-                for needing in needs_group(self._placement, name):
+                for needing in vms_needing_group(self._placement, name):
                     self._index.setdefault(needing, set()).add(name)
             self._index_of = state
         return self._index.get(vm, set())
@@ -226,7 +226,7 @@
     # Sending.
 
     def _send_to_needing(self, name: str) -> None:
-        for vm in needs_group(self._placement, name):
+        for vm in vms_needing_group(self._placement, name):
             if vm != self._board.me.name:
                 self._send(vm, (name,))
 
@@ -288,7 +288,7 @@
         return {
             name: version
             for name, version in have.items()
-            if me in needs_group(self._placement, name)
+            if me in vms_needing_group(self._placement, name)
         }
 
     def _answer(self, question: dict[str, Any]) -> dict[str, Any]:
@@ -340,13 +340,13 @@
         self._placer.place()
 
     def _is_watcher(self) -> bool:
-        watchers = self._placement.watchers()
+        watchers = self._placement.platform_watchers()
         return any(vm.name == self._board.me.name for vm in watchers)
 
     def _other_watchers(self) -> list[Vm]:
         """Return the watchers, those of our own zone first."""
         me = self._board.me
-        others = self._placement.watchers()
+        others = self._placement.platform_watchers()
         zone = me.availability_zone
         return sorted(
             (vm for vm in others if vm.name != me.name),
@@ -355,7 +355,7 @@
 
 
 def _message(body: dict[str, Any]) -> Any:
-    message = envelope()
+    message = new_envelope()
     message.init("groupFact").record = orjson.dumps(body)
     return message
 
--- a/bamboospring/holder.py
+++ b/bamboospring/holder.py
@@ -30,9 +30,9 @@
 from bamboospring.statement_log import log_outcome
 from bamboospring.statements import Statement
 from bamboospring.statements import StepKind
+from bamboospring.target_watcher import TargetWatcher
 from bamboospring.tokens import TokenCodec
 from bamboospring.transaction_runner import TransactionRunner
-from bamboospring.watcher import Watcher
 from bamboospring.writes import WriteRunner
 
 __all__ = ["Holder"]
@@ -57,7 +57,7 @@
         board: Blackboard,
         placement: Placement,
         pools: Pools,
-        watcher: Watcher,
+        watcher: TargetWatcher,
         codec: TokenCodec,
         transaction_idle_timeout: float,
         budget: RetryBudget | None = None,
@@ -71,7 +71,7 @@
         self._budget = budget or RetryBudget()
         exchange = Exchange(reactor=reactor)
         self._flights = Flights()
-        watcher.still_needed = self.has_in_flight_work
+        watcher.has_pending_work = self.has_in_flight_work
         self.transactions = TransactionRunner(
             reactor=reactor,
             vm=board.me.name,
--- a/bamboospring/lease.py
+++ b/bamboospring/lease.py
@@ -34,7 +34,7 @@
     "LeaseTiming",
     "LeaseValue",
     "ReadLease",
-    "SeenLease",
+    "ObservedLease",
     "WriteLease",
 ]
 
@@ -46,10 +46,10 @@
     """Seconds. `stagger` is the head start of each better candidate."""
 
     duration: float = 3.0
-    renew: float = 1.0
-    margin: float = 0.5
-    stagger: float = 0.3
-    retry: float = 0.2
+    renew_interval: float = 1.0
+    safety_margin: float = 0.5
+    stagger_delay: float = 0.3
+    retry_delay: float = 0.2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SeenLease:
+class ObservedLease:
     """The object as the platform showed it; version 0: there is none.
 
     `missing_in` is then the era in which there is none.
@@ -76,15 +76,15 @@
 
     version: int
     value: LeaseValue
-    missing_in: int = 0
+    missing_in_era: int = 0
 
     @property
     def era(self) -> int:
         """Return the era in which this was seen."""
-        return era_of(self.version) if self.version else self.missing_in
+        return era_of(self.version) if self.version else self.missing_in_era
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Tell whether it was stored in the era in which it was seen."""
         return not self.version or self.value.era == self.era
 
@@ -136,7 +136,7 @@
         self._address = address
         self._nonce = nonce
         self._timing = timing
-        self._seen = SeenLease(version=-1, value=_empty())
+        self._seen = ObservedLease(version=-1, value=_empty())
         self._seen_at = NEVER
         self._next_at = NEVER
         self._busy = False
@@ -147,7 +147,7 @@
 
     def holds(self, now: float) -> bool:
         """Tell whether this VM may act as the holder at this instant."""
-        return now < self.valid_until - self._timing.margin
+        return now < self.valid_until - self._timing.safety_margin
 
     def blocks_others(self, now: float) -> bool:
         """Tell whether others still wait for the end of our lease."""
@@ -161,11 +161,11 @@
             vm=self._seen.value.vm,
             version=max(self._seen.version, 0),
             duration=self._seen.value.duration,
-            seen_at=self._seen_at,
+            version_seen_at=self._seen_at,
             valid_until=self.valid_until,
         )
 
-    def address(self) -> str:
+    def holder_address(self) -> str:
         """Return where the holder is reached, as last seen."""
         return self._seen.value.address
 
@@ -198,7 +198,7 @@
         if rank is None:
             return None
         free_at = self._free_at()
-        if now >= free_at + rank * self._timing.stagger:
+        if now >= free_at + rank * self._timing.stagger_delay:
             return self._write(self._vm)
         # While a better candidate has its head start there is nothing to
         # read: the conditional update tells whether it came first.
@@ -207,7 +207,7 @@
     def _free_at(self) -> float:
         """Return when the lease may be taken, if its version stays."""
         value = self._seen.value
-        if self._vanished or not self._seen.current:
+        if self._vanished or not self._seen.is_current:
             # Whoever holds it knows of a later state than the store shows.
             longest = max(value.duration, self._timing.duration)
             return self._seen_at + longest
@@ -236,20 +236,20 @@
 
     # What became of the call.
 
-    def read(self, sent_at: float, now: float, seen: SeenLease) -> None:
+    def on_read(self, sent_at: float, now: float, seen: ObservedLease) -> None:
         """Take in the object as it was read."""
         self._busy = False
         self._take(now, seen)
 
-    def stored(
+    def on_stored(
         self, sent_at: float, now: float, action: WriteLease, version: int
     ) -> None:
         """Take in that our update was done."""
         self._busy = False
         self._unsure[action.value.nonce] = sent_at
-        self._take(now, SeenLease(version=version, value=action.value))
+        self._take(now, ObservedLease(version=version, value=action.value))
 
-    def noticed(self, now: float, seen: SeenLease) -> None:
+    def on_observed(self, now: float, seen: ObservedLease) -> None:
         """Take in a newer version that was seen by the way.
 
         A lease that is noticed late is waited out late: without this a holder
@@ -261,7 +261,9 @@
         if seen.version > self._seen.version:
             self._take(now, seen)
 
-    def conflicted(self, sent_at: float, now: float, seen: SeenLease) -> None:
+    def on_conflict(
+        self, sent_at: float, now: float, seen: ObservedLease
+    ) -> None:
         """Take in that the object was at another version.
 
         It may be our own earlier update whose answer was lost.
@@ -269,7 +271,7 @@
         self._busy = False
         self._take(now, seen)
 
-    def unanswered(
+    def on_no_answer(
         self, sent_at: float, now: float, action: LeaseAction
     ) -> None:
         """Take in that nothing is known of the call.
@@ -278,11 +280,11 @@
         before anything else is concluded from it.
         """
         self._busy = False
-        self._next_at = now + self._timing.retry
+        self._next_at = now + self._timing.retry_delay
         if isinstance(action, WriteLease):
             self._unsure[action.value.nonce] = sent_at
 
-    def _take(self, now: float, seen: SeenLease) -> None:
+    def _take(self, now: float, seen: ObservedLease) -> None:
         if seen.version != self._seen.version:
             self._vanished = not seen.version and self._seen.version > 0
             self._seen = seen
@@ -296,24 +298,24 @@
             return
         if not self.fence or now >= self.valid_until:
             self.fence = seen.version
-        if not seen.current:
+        if not seen.is_current:
             self._next_at = now
         elif sent_at is not None:
             self.valid_until = sent_at + seen.value.duration
-            self._next_at = sent_at + self._timing.renew
+            self._next_at = sent_at + self._timing.renew_interval
 
     def _next_look(self, now: float) -> float:
         """Look again at the next interval, or when the lease gets free."""
         free_at = self._free_at()
         timing = self._timing
-        look = now + timing.renew
+        look = now + timing.renew_interval
         return min(look, free_at) if free_at > now else now
 
     def _keeps(self, now: float) -> bool:
         """Tell whether the lease is ours to renew."""
         if not self._is_mine():
             return False
-        return self._seen.current or now < self.valid_until
+        return self._seen.is_current or now < self.valid_until
 
     def _is_mine(self) -> bool:
         value = self._seen.value
--- a/bamboospring/lease_client.py
+++ b/bamboospring/lease_client.py
@@ -11,8 +11,8 @@
 from bamboospring.lease import LeaseKeeper
 from bamboospring.lease import LeaseTiming
 from bamboospring.lease import LeaseValue
+from bamboospring.lease import ObservedLease
 from bamboospring.lease import ReadLease
-from bamboospring.lease import SeenLease
 from bamboospring.lease import WriteLease
 from bamboospring.platform_client import Conflict
 from bamboospring.platform_client import Found
@@ -22,22 +22,22 @@
 from bamboospring.platform_client import Stored
 from bamboospring.platform_client import Unavailable
 from bamboospring.reactor import Reactor
-from bamboospring.rendezvous import BUCKETS
+from bamboospring.rendezvous import BUCKET_COUNT
 
 __all__ = [
-    "Leases",
-    "Result",
+    "LeaseManager",
+    "LeaseCallResult",
     "encode_lease",
-    "read_lease",
-    "report_to_keeper",
+    "decode_lease",
+    "pass_result_to_keeper",
 ]
 
 CALL_TIMEOUT = 1.0
 
-Result = Found | Missing | Stored | Conflict | Rejected | Unavailable
+LeaseCallResult = Found | Missing | Stored | Conflict | Rejected | Unavailable
 
 
-class Leases:
+class LeaseManager:
     """This VM's part in the leases of all buckets."""
 
     def __init__(
@@ -56,7 +56,7 @@
             LeaseKeeper(
                 bucket=bucket, vm=board.me.name, nonce=nonce, timing=timing
             )
-            for bucket in range(BUCKETS)
+            for bucket in range(BUCKET_COUNT)
         ]
 
     def holds(self, bucket: int) -> bool:
@@ -81,9 +81,9 @@
         name = str(keeper.bucket)
         purpose = f"lease/{name}"
 
-        def on_result(result: Result) -> None:
+        def on_result(result: LeaseCallResult) -> None:
             now = self._reactor.now()
-            report_to_keeper(keeper, action, result, sent_at, now)
+            pass_result_to_keeper(keeper, action, result, sent_at, now)
             self._board.leases[keeper.bucket] = keeper.as_lease()
 
         match action:
@@ -103,26 +103,28 @@
                 )
 
 
-def report_to_keeper(
+def pass_result_to_keeper(
     keeper: LeaseKeeper,
     action: LeaseAction,
-    result: Result,
+    result: LeaseCallResult,
     sent_at: float,
     now: float,
 ) -> None:
     """Tell the keeper what became of its call."""
     match result:
         case Stored() if isinstance(action, WriteLease):
-            keeper.stored(sent_at, now, action, result.version)
+            keeper.on_stored(sent_at, now, action, result.version)
         case Found():
-            keeper.read(sent_at, now, read_lease(result.version, result.value))
+            keeper.on_read(
+                sent_at, now, decode_lease(result.version, result.value)
+            )
         case Missing():
-            keeper.read(sent_at, now, read_lease(0, None))
+            keeper.on_read(sent_at, now, decode_lease(0, None))
         case Conflict():
-            seen = read_lease(result.version, result.value)
-            keeper.conflicted(sent_at, now, seen)
+            seen = decode_lease(result.version, result.value)
+            keeper.on_conflict(sent_at, now, seen)
         case _:
-            keeper.unanswered(sent_at, now, action)
+            keeper.on_no_answer(sent_at, now, action)
 
 
 def encode_lease(value: LeaseValue) -> dict[str, Any]:
@@ -139,7 +141,7 @@
     return raw
 
 
-def read_lease(version: int, raw: Any) -> SeenLease:
+def decode_lease(version: int, raw: Any) -> ObservedLease:
     """Read a stored lease; what is none counts as given up."""
     raw = raw if isinstance(raw, dict) else {}
     value = LeaseValue(
@@ -149,4 +151,4 @@
         address=str(raw.get("address", "")),
         era=int(raw.get("era", 0)),
     )
-    return SeenLease(version=version, value=value)
+    return ObservedLease(version=version, value=value)
--- a/bamboospring/membership.py
+++ b/bamboospring/membership.py
@@ -43,14 +43,14 @@
     def __init__(self) -> None:
         self._states: dict[str, PeerState] = {}
 
-    def heard(self, vm: str, now: float) -> None:
+    def record_contact(self, vm: str, now: float) -> None:
         """Note a sign of life."""
         state = self._state(vm)
         state.heard_at = now
         state.losses = 0
         state.avoid_until = -1e9
 
-    def lost(self, vm: str, now: float) -> None:
+    def record_failure(self, vm: str, now: float) -> None:
         """Note that a VM could not be reached or did not answer."""
         state = self._state(vm)
         doublings = min(state.losses, 8)
@@ -58,12 +58,12 @@
         state.losses += 1
         state.avoid_until = now + wait
 
-    def drains(self, vm: str, now: float, draining: bool = True) -> None:
+    def set_draining(self, vm: str, now: float, draining: bool = True) -> None:
         """Note whether a VM says that it takes no new work."""
         until = now + DRAIN_MEMORY if draining else -1e9
         self._state(vm).drains_until = until
 
-    def avoided(self, vms: Iterable[Vm], now: float) -> frozenset[str]:
+    def vms_to_avoid(self, vms: Iterable[Vm], now: float) -> frozenset[str]:
         """Return the names of those VMs that are to be tried last."""
         return frozenset([vm.name for vm in vms if self._avoids(vm, now)])
 
@@ -75,7 +75,7 @@
             return False
         return state.drains_until > now or state.avoid_until > now
 
-    def keep_only(self, vms: Iterable[str]) -> None:
+    def retain_vms(self, vms: Iterable[str]) -> None:
         """Forget VMs that the list no longer has."""
         names = set(vms)
         for name in list(self._states):
--- a/bamboospring/peer_sync.py
+++ b/bamboospring/peer_sync.py
@@ -23,8 +23,12 @@
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import Vm
 from bamboospring.fact_store import FactStore
+from bamboospring.fact_versions import fact_versions
+from bamboospring.fact_versions import FactVersions
+from bamboospring.fact_versions import newer_facts
+from bamboospring.fact_versions import versions_digest
 from bamboospring.membership import Membership
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
@@ -33,10 +37,6 @@
 from bamboospring.records import encode_shard
 from bamboospring.records import encode_vm
 from bamboospring.rendezvous import choose_neighbours
-from bamboospring.spread import digest_of
-from bamboospring.spread import lacking
-from bamboospring.spread import Versions
-from bamboospring.spread import versions_of
 
 __all__ = ["PeerSync"]
 
@@ -90,16 +90,16 @@
         self._callers: dict[str, float] = {}
         self._fetches: dict[int | str, _Fetch] = {}
         self._announcing: Timer | None = None
-        self.on_heard: list[Callable[[int], None]] = []
+        self.on_heartbeat: list[Callable[[int], None]] = []
         # Names and addresses of processes that are told of news besides.
         self.also_tell: Callable[[], dict[str, str]] = dict
         store.on_change.append(self.announce)
-        peers.handle("heartbeat", self._on_heartbeat)
-        peers.handle("tableWant", self._on_table_want)
-        peers.handle("vmList", self._on_vm_list)
+        peers.add_handler("heartbeat", self._on_heartbeat)
+        peers.add_handler("tableWant", self._on_table_want)
+        peers.add_handler("vmList", self._on_vm_list)
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Say whether nothing newer is being fetched."""
         return not self._fetches
 
@@ -118,7 +118,7 @@
         self,
         address: str,
         name: str = "",
-        on_done: Callable[[bool], None] | None = None,
+        on_complete: Callable[[bool], None] | None = None,
     ) -> None:
         """Ask one address for its versions; say whether it answered."""
 
@@ -128,8 +128,8 @@
             else:
                 self._heard(answer.heartbeatAck, address)
                 self._tell_lacking(answer.heartbeatAck, address)
-            if on_done is not None:
-                on_done(not isinstance(answer, PeerLost))
+            if on_complete is not None:
+                on_complete(not isinstance(answer, PeerLost))
 
         message = self._heartbeat(whole=False)
         self._peers.ask(address, message, ASK_TIMEOUT, answered)
@@ -147,7 +147,7 @@
             vms = list(self._board.vms.values())
             self._neighbours = choose_neighbours(self._board.me.name, vms)
             self._neighbours_of = self._board.vms_revision
-            self._membership.keep_only(self._board.vms)
+            self._membership.retain_vms(self._board.vms)
         return self._neighbours
 
     def _tick(self) -> None:
@@ -174,16 +174,16 @@
     # Messages.
 
     def _heartbeat(self, *, whole: bool) -> Any:
-        message = envelope()
+        message = new_envelope()
         self._fill(message.init("heartbeat"), whole)
         return message
 
     def _fill(self, out: Any, whole: bool) -> None:
-        versions = versions_of(self._board)
+        versions = fact_versions(self._board)
         out.vm = self._board.me.name
         out.vmsRevision = versions.vms_revision
         out.draining = self._board.draining
-        out.digest = digest_of(versions)
+        out.digest = versions_digest(versions)
         if whole:
             out.shards = list(versions.shards)
 
@@ -195,7 +195,7 @@
         """
         if not ack.shards:
             return
-        if lacking(_versions_in(ack), versions_of(self._board)):
+        if newer_facts(_versions_in(ack), fact_versions(self._board)):
             self._peers.send(address, self._heartbeat(whole=True))
 
     def _differs(self, heartbeat: Any) -> bool:
@@ -204,7 +204,7 @@
         One of a link's own heartbeats tells nothing and needs nothing.
         """
         if heartbeat.digest:
-            mine = digest_of(versions_of(self._board))
+            mine = versions_digest(fact_versions(self._board))
             return bool(heartbeat.digest != mine)
         return bool(heartbeat.shards)
 
@@ -212,13 +212,13 @@
         heartbeat = message.heartbeat
         name = heartbeat.vm
         if heartbeat.draining:
-            self._membership.drains(name, self._reactor.now())
+            self._membership.set_draining(name, self._reactor.now())
         vm = self._board.vms.get(name)
         if vm is not None and name != self._board.me.name:
             self._callers[name] = self._reactor.now()
             self._heard(heartbeat, vm.address)
         if message.id != 0:
-            answer = envelope()
+            answer = new_envelope()
             whole = self._differs(heartbeat)
             self._fill(answer.init("heartbeatAck"), whole)
             reply(answer)
@@ -226,12 +226,12 @@
     def _heard(self, heartbeat: Any, address: str) -> None:
         name = heartbeat.vm
         now = self._reactor.now()
-        self._membership.heard(name, now)
-        for callback in self.on_heard:
+        self._membership.record_contact(name, now)
+        for callback in self.on_heartbeat:
             callback(heartbeat.vmsRevision)
-        self._membership.drains(name, now, heartbeat.draining)
+        self._membership.set_draining(name, now, heartbeat.draining)
         theirs = _versions_in(heartbeat)
-        newer = lacking(versions_of(self._board), theirs)
+        newer = newer_facts(fact_versions(self._board), theirs)
         if newer.vms:
             offer = _Offer(address=address, version=theirs.vms_revision)
             self._fetch(VMS, name, offer)
@@ -241,7 +241,7 @@
 
     def _lost(self, name: str) -> None:
         if name:
-            self._membership.lost(name, self._reactor.now())
+            self._membership.record_failure(name, self._reactor.now())
 
     # Fetching.
 
@@ -279,13 +279,13 @@
                 return
 
     def _version(self, what: int | str) -> int:
-        versions = versions_of(self._board)
+        versions = fact_versions(self._board)
         if isinstance(what, int):
             return versions.shards[what]
         return versions.vms_revision
 
     def _want(self, what: int | str) -> Any:
-        message = envelope()
+        message = new_envelope()
         if isinstance(what, int):
             want = message.init("tableWant")
             want.shard = what
@@ -299,16 +299,16 @@
             case "tableDelta" if answer.tableDelta.rows:
                 delta = answer.tableDelta
                 value = orjson.loads(delta.rows)
-                self._store.take_shard_value(
+                self._store.apply_shard_value(
                     str(delta.shard), delta.version, value
                 )
             case "vmList" if answer.vmList.vms:
                 vms = orjson.loads(answer.vmList.vms)
-                self._store.take_vms(answer.vmList.revision, vms)
+                self._store.apply_vms(answer.vmList.revision, vms)
 
     def _on_table_want(self, message: Any, reply: Reply) -> None:
         want = message.tableWant
-        answer = envelope()
+        answer = new_envelope()
         delta = answer.init("tableDelta")
         delta.shard = want.shard
         shard = self._board.table.get(want.shard)
@@ -318,7 +318,7 @@
         reply(answer)
 
     def _on_vm_list(self, message: Any, reply: Reply) -> None:
-        answer = envelope()
+        answer = new_envelope()
         out = answer.init("vmList")
         if self._board.vms_revision > message.vmList.revision:
             out.revision = self._board.vms_revision
@@ -327,7 +327,7 @@
         reply(answer)
 
 
-def _versions_in(heartbeat: Any) -> Versions:
-    return Versions(
+def _versions_in(heartbeat: Any) -> FactVersions:
+    return FactVersions(
         vms_revision=heartbeat.vmsRevision, shards=tuple(heartbeat.shards)
     )
--- a/bamboospring/peers.py
+++ b/bamboospring/peers.py
@@ -23,7 +23,7 @@
 from bamboospring.reactor import Stream
 from bamboospring.reactor import Timer
 
-__all__ = ["PeerLost", "Peers", "Reply", "envelope", "schema"]
+__all__ = ["PeerLost", "Peers", "Reply", "new_envelope", "schema"]
 
 capnp.remove_import_hook()
 schema = capnp.load(str(Path(__file__).with_name("wire.capnp")))
@@ -58,7 +58,7 @@
 OnAnswer = Callable[[Any], None]
 
 
-def envelope() -> Any:
+def new_envelope() -> Any:
     """Return a new, empty Envelope to fill in."""
     return schema.Envelope.new_message()
 
@@ -80,9 +80,9 @@
         self.listener: Listener = reactor.listen(listen, self._accept)
         self.sent_bytes = 0
         self.received_bytes = 0
-        self.handle("heartbeat", _answer_heartbeat)
+        self.add_handler("heartbeat", _answer_heartbeat)
 
-    def handle(self, which: str, callback: OnMessage) -> None:
+    def add_handler(self, which: str, callback: OnMessage) -> None:
         """Call back with each message of a kind and a way to reply."""
         self._handlers[which] = callback
 
@@ -116,7 +116,7 @@
         message.id = next(self._ids)
         self._link(address).ask(message, timeout, on_answer)
 
-    def silence(self, address: str) -> float | None:
+    def unresponsive_for(self, address: str) -> float | None:
         """Return for how many seconds a peer has owed an answer.
 
         0 if it owes none or has said something since; None if no link stands
@@ -219,7 +219,7 @@
             self.peers.reactor.call_later(HELLO_TIMEOUT, self._check_hello)
             return
         self._get_ready()
-        message = envelope()
+        message = new_envelope()
         message.init("hello").vm = self.peers.vm
         message.hello.protocol = PROTOCOL
         self.send(message.to_bytes())
@@ -331,7 +331,7 @@
         if not unanswered and now - self.heard_at >= SILENCE / 2:
             # Only a question that stays open tells silence from a peer that
             # has nothing to say yet.
-            message = envelope()
+            message = new_envelope()
             message.init("heartbeat").vm = self.peers.vm
             message.id = next(self.peers._ids)
             self.heartbeat_at = now
@@ -359,6 +359,6 @@
 def _answer_heartbeat(message: Any, reply: Reply) -> None:
     if message.id == 0:
         return
-    answer = envelope()
+    answer = new_envelope()
     answer.init("heartbeatAck").vm = message.heartbeat.vm
     reply(answer)
--- a/bamboospring/platform_client.py
+++ b/bamboospring/platform_client.py
@@ -121,11 +121,11 @@
     """
 
     timeout: float = 2.0
-    least_timeout: float = float("inf")
+    min_timeout: float = float("inf")
     first_backoff: float = FIRST_BACKOFF
-    longest_backoff: float = 5.0
+    max_backoff: float = 5.0
     watch_margin: float = WATCH_MARGIN
-    large: frozenset[str] = frozenset()
+    large_purposes: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True, kw_only=True)
@@ -205,14 +205,14 @@
         self._timing = timing
         self._chance = chance
         self._lanes: dict[str, _Lane] = {}
-        self._times = AdaptiveTimeout(min_timeout=timing.least_timeout)
+        self._times = AdaptiveTimeout(min_timeout=timing.min_timeout)
         # The store's newest era: it rises when the store has come back from
         # an older copy. `on_return` is called then. It was back at
         # `returned_at` at the latest; None: as far as is known it never was
         # away.
         self.era = 0
-        self.returned_at: float | None = None
-        self.on_return: list[Callable[[], None]] = []
+        self.restored_at: float | None = None
+        self.on_restored: list[Callable[[], None]] = []
         self._answered = False
 
     def get(
@@ -434,12 +434,12 @@
         call = Call(method="GET", path=path)
         self._call(call, purpose, timeout, answered)
 
-    def may_lack(self, asked_at: float) -> bool:
+    def may_be_incomplete(self, asked_at: float) -> bool:
         """Tell whether an answer may lack what the store had acknowledged.
 
         `asked_at` is when the question was sent.
         """
-        returned_at = self.returned_at
+        returned_at = self.restored_at
         return returned_at is not None and asked_at < (
             returned_at + WRITTEN_AGAIN
         )
@@ -484,7 +484,9 @@
         """Send a call when its lane is free; `waits` if the platform may."""
         most = timeout or self._timing.timeout
         sent_at = 0.0
-        unhurried = waits or _counted_as(purpose) in self._timing.large
+        unhurried = (
+            waits or _counted_as(purpose) in self._timing.large_purposes
+        )
         lane = self._lane(purpose)
         counts = self._counts(purpose)
 
@@ -531,9 +533,9 @@
             before=self.era,
         )
         self.era = era
-        self.returned_at = self._reactor.now()
+        self.restored_at = self._reactor.now()
         if not first:
-            for callback in self.on_return:
+            for callback in self.on_restored:
                 callback()
 
     def _era_of(self, answer: HttpAnswer) -> int:
@@ -598,7 +600,7 @@
     def _lane(self, purpose: str) -> _Lane:
         lane = self._lanes.get(purpose)
         if lane is None:
-            limit = self._timing.longest_backoff
+            limit = self._timing.max_backoff
             if _counted_as(purpose) in URGENT:
                 limit = min(limit, MAX_URGENT_BACKOFF)
             lane = _Lane(
--- a/bamboospring/platform_watch.py
+++ b/bamboospring/platform_watch.py
@@ -57,9 +57,9 @@
         on_objects: OnObjects,
     ) -> None:
         self.kind = kind
-        self.listed = False
+        self.is_listed = False
         self.on_listed: list[Callable[[bool], None]] = []
-        self.answered_at = -1e9
+        self.last_response_at = -1e9
         # When the last answered call was made: the store has shown all that
         # was stored before.
         self.confirmed_at = -1e9
@@ -85,7 +85,7 @@
         if self._busy:
             return
         self._begin()
-        if not self.listed:
+        if not self.is_listed:
             self._platform.list(self.kind, "check", self._answered)
             return
         self._platform.watch(
@@ -96,7 +96,7 @@
         if self._busy or not self._watching:
             return
         self._begin()
-        if not self.listed:
+        if not self.is_listed:
             self._platform.list(self.kind, self.kind, self._answered)
             return
         self._platform.watch(
@@ -125,7 +125,7 @@
                     kind=self.kind,
                     asked_from=version_text(self._revision),
                 )
-                self.listed = False
+                self.is_listed = False
                 self._losses += 1
                 if self._losses == 1:
                     self._next()
@@ -141,10 +141,10 @@
         # After an answer of a lagging copy of the platform the next watch
         # would bring everything again.
         self._revision = max(self._revision, changes.revision)
-        if self.listed:
+        if self.is_listed:
             self._losses = 0
-        self.listed = True
-        self.answered_at = self._reactor.now()
+        self.is_listed = True
+        self.last_response_at = self._reactor.now()
         self.confirmed_at = self._asked_at
         self._on_objects(changes.objects)
         self._tell_listed(True)
@@ -198,7 +198,7 @@
     @property
     def is_watcher(self) -> bool:
         """Say whether this VM watches on behalf of all."""
-        watchers = self._placement.watchers()
+        watchers = self._placement.platform_watchers()
         return any(vm.name == self._board.me.name for vm in watchers)
 
     def start(self) -> None:
@@ -244,7 +244,7 @@
 
     def _take_table(self, objects: tuple[Found, ...]) -> None:
         for item in objects:
-            self._store.take_shard_value(item.name, item.version, item.value)
+            self._store.apply_shard_value(item.name, item.version, item.value)
 
     def _take_vms(self, result: VmsFound | Unavailable) -> None:
         self._vms_busy = False
@@ -253,7 +253,7 @@
                 self._confirm_vms(result.revision)
             case VmsFound():
                 self._vms_whole = False
-                self._store.take_vms(result.revision, result.vms or ())
+                self._store.apply_vms(result.revision, result.vms or ())
 
     def _confirm_vms(self, revision: int) -> None:
         """Note that the platform has the list that we have.
--- a/bamboospring/promotion.py
+++ b/bamboospring/primary_change.py
@@ -32,22 +32,22 @@
 from bamboospring.change_base import RESEND
 from bamboospring.change_pause import PAUSE_PATIENCE
 from bamboospring.change_pause import PlannedSteps
-from bamboospring.change_plan import Cause
-from bamboospring.change_plan import Phase
-from bamboospring.change_plan import Plan
+from bamboospring.change_plan import ChangeCause
+from bamboospring.change_plan import ChangePhase
+from bamboospring.change_plan import ChangePlan
 from bamboospring.primary_choice import choose_primary
 from bamboospring.primary_choice import log_end
 from bamboospring.target_api import ProbeResult
 
 __all__ = [
     "Action",
-    "Cause",
-    "Change",
+    "ChangeCause",
+    "PrimaryChange",
     "GroupObject",
     "Order",
     "OrderKind",
-    "Phase",
-    "Plan",
+    "ChangePhase",
+    "ChangePlan",
     "ReadGroup",
     "UpdateGroup",
     "choose_primary",
@@ -63,19 +63,19 @@
 PROBE_GRACE = 0.05
 
 
-class Change(PlannedSteps):
+class PrimaryChange(PlannedSteps):
     """One attempt to change a group's primary, under one term."""
 
     # Events.
 
     def begin(self, now: float) -> list[Action]:
         """Start: ask all targets and the platform how things stand."""
-        self._enter(Phase.PROBE, now)
+        self._enter(ChangePhase.PROBE, now)
         self._calling = True
         actions: list[Action] = [ReadGroup()]
         return actions + self._order_all(OrderKind.PROBE, now)
 
-    def answered(
+    def on_answer(
         self,
         order: Order,
         accepted: bool,
@@ -84,16 +84,16 @@
     ) -> list[Action]:
         """Take in a target's answer; `accepted` is false for a 409."""
         self._sent.pop((order.kind, order.target.name), None)
-        if self.over or probe is None:
+        if self.is_over or probe is None:
             return []
         name = order.target.name
         match order.kind:
-            case OrderKind.PROBE if self.phase is Phase.PROBE:
+            case OrderKind.PROBE if self.phase is ChangePhase.PROBE:
                 self._probes[name] = probe
                 return self._try_leave_probe(now)
-            case OrderKind.PROBE if self.phase is Phase.CATCH_UP:
+            case OrderKind.PROBE if self.phase is ChangePhase.CATCH_UP:
                 return self._check_caught_up(name, probe, now)
-            case OrderKind.PAUSE if self.phase is Phase.PAUSE:
+            case OrderKind.PAUSE if self.phase is ChangePhase.PAUSE:
                 return self._paused(accepted, probe, now)
             case OrderKind.FENCE if order.term == self.term:
                 return self._stopped(name, accepted, probe, now)
@@ -101,48 +101,52 @@
                 return self._promoted(accepted, probe, now)
         return []
 
-    def lost(self, order: Order, now: float) -> list[Action]:
+    def on_no_answer(self, order: Order, now: float) -> list[Action]:
         """Take in that no answer came; `tick` sends the order again."""
-        if self.phase is Phase.PROBE:
+        if self.phase is ChangePhase.PROBE:
             self._probe_lost.add(order.target.name)
             return self._try_leave_probe(now)
         return []
 
-    def read(self, found: GroupObject | None, now: float) -> list[Action]:
+    def on_object_read(
+        self, found: GroupObject | None, now: float
+    ) -> list[Action]:
         """Take in the group's object; None: the platform did not answer."""
         self._calling = False
-        if self.over:
+        if self.is_over:
             return []
         if found is None:
             self._call_again_at = now + RESEND
             return []
         match self.phase:
-            case Phase.PROBE:
+            case ChangePhase.PROBE:
                 self._object = found
                 return self._try_leave_probe(now)
-            case Phase.WIN | Phase.RECORD:
+            case ChangePhase.WIN | ChangePhase.RECORD:
                 return self._resolve(found, now)
         return []
 
     def tick(self, now: float) -> list[Action]:
         """Send again what was lost and give up what takes too long."""
-        if self.over:
+        if self.is_over:
             return []
         waited = now - self._phase_at
         match self.phase:
-            case Phase.PROBE if waited > PROBE_PATIENCE:
+            case ChangePhase.PROBE if waited > PROBE_PATIENCE:
                 return self._end("no majority answers", now)
-            case Phase.PROBE if waited > PROBE_GRACE:
+            case ChangePhase.PROBE if waited > PROBE_GRACE:
                 self._probe_lost.add(self.plan.failed)
                 actions = self._try_leave_probe(now)
-                if actions or self.over:
+                if actions or self.is_over:
                     return actions
-            case Phase.PAUSE | Phase.CATCH_UP if waited > PAUSE_PATIENCE:
+            case ChangePhase.PAUSE | ChangePhase.CATCH_UP if (
+                waited > PAUSE_PATIENCE
+            ):
                 return self._give_up_pause(now)
-            case Phase.FENCE if self._majority_at is not None:
+            case ChangePhase.FENCE if self._majority_at is not None:
                 if now - self._majority_at >= FENCE_GRACE:
                     return self._promote(now)
-            case Phase.PROMOTE if waited > PROMOTE_PATIENCE:
+            case ChangePhase.PROMOTE if waited > PROMOTE_PATIENCE:
                 # It may have become primary without our knowing. Telling a
                 # second one at the same term could make two, so this change
                 # ends and the next one wins another term.
@@ -162,11 +166,11 @@
             return []
         if not self._is_as_judged(record):
             return self._end("the record has moved on", now)
-        if record.torn:
+        if record.majority_overlap_lost:
             # A majority of the targets of today may hold none of the writes
             # that were acknowledged by one of those before the edit.
             return self._end("too many targets were edited", now)
-        if self.plan.cause.planned:
+        if self.plan.cause.is_planned:
             return self._try_pause(record, now)
         failed = self.plan.failed
         if failed and failed not in self._probes.keys() | self._probe_lost:
@@ -193,7 +197,7 @@
     def _won(self, now: float) -> list[Action]:
         assert self._update is not None
         self.term = self._update.value["term"]
-        self._enter(Phase.FENCE, now)
+        self._enter(ChangePhase.FENCE, now)
         return self._order_all(OrderKind.FENCE, now)
 
     def _stopped(
@@ -201,7 +205,7 @@
     ) -> list[Action]:
         if not accepted or probe.term > self.term:
             return self._end("a target knows a later term", now)
-        if self.phase is not Phase.FENCE:
+        if self.phase is not ChangePhase.FENCE:
             return []
         self._fenced[name] = probe
         if len(self._fenced) < self._majority():
@@ -220,22 +224,22 @@
             self._fenced,
             self._majority(),
             self.plan.preferred,
-            planned=self.plan.cause.planned,
+            planned=self.plan.cause.is_planned,
             failed=self.plan.failed,
         )
-        self._enter(Phase.PROMOTE, now)
+        self._enter(ChangePhase.PROMOTE, now)
         target = self._targets[self.primary]
         return [self._order(OrderKind.PROMOTE, target, now, self.term)]
 
     def _promoted(
         self, accepted: bool, probe: ProbeResult, now: float
     ) -> list[Action]:
-        if self.phase is not Phase.PROMOTE:
+        if self.phase is not ChangePhase.PROMOTE:
             return []
         if not accepted or probe.role is not Role.PRIMARY:
             return self._end("promotion refused", now)
         self._start = probe.term_start
-        self._enter(Phase.RECORD, now)
+        self._enter(ChangePhase.RECORD, now)
         return self._put_record() + self._follow_all(now)
 
     def _follow_all(self, now: float) -> list[Action]:
--- a/bamboospring/primary_policy.py
+++ b/bamboospring/primary_policy.py
@@ -12,15 +12,15 @@
 from bamboospring.blackboard import Role
 from bamboospring.blackboard import TableRow
 from bamboospring.blackboard import Target
-from bamboospring.promotion import Cause
-from bamboospring.promotion import log_end
-from bamboospring.promotion import Order
-from bamboospring.promotion import OrderKind
-from bamboospring.promotion import Plan
+from bamboospring.primary_change import ChangeCause
+from bamboospring.primary_change import ChangePlan
+from bamboospring.primary_change import log_end
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import OrderKind
 from bamboospring.target_api import ProbeResult
 
 __all__ = [
-    "GroupView",
+    "PolicyInput",
     "choose_plan",
     "orders_to_rejoin",
     "rank_targets",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GroupView:
+class PolicyInput:
     """What the steward knows of a group when it judges it.
 
     `probes` holds recent answers only. `condemned` says that the primary is
@@ -45,39 +45,39 @@
     ordered: str = ""
 
 
-def choose_plan(view: GroupView) -> Plan | None:
+def choose_plan(view: PolicyInput) -> ChangePlan | None:
     """Return the change that the group needs now, or None."""
     record = view.record
     if not record.primary:
-        return _plan(view, Cause.NO_PRIMARY)
+        return _plan(view, ChangeCause.NO_PRIMARY)
     if view.condemned:
-        return _plan(view, Cause.PRIMARY_FAILED)
+        return _plan(view, ChangeCause.PRIMARY_FAILED)
     probe = view.probes.get(record.primary)
     if probe is None:
         return None
     if not _works(probe, record):
-        return _plan(view, Cause.ROLE_LOST)
+        return _plan(view, ChangeCause.ROLE_LOST)
     return _planned(view)
 
 
-def _planned(view: GroupView) -> Plan | None:
+def _planned(view: PolicyInput) -> ChangePlan | None:
     record = view.record
     best = _best_other(view)
     if best is None:
         return None
     if view.ordered in (best.name, "*"):
-        return _plan(view, Cause.ORDERED, best.name)
+        return _plan(view, ChangeCause.ORDERED, best.name)
     primary = _find(record.targets, record.primary)
     if primary is None:
         return None
     if _is_leaving(view, primary):
-        return _plan(view, Cause.LEAVING, best.name)
+        return _plan(view, ChangeCause.LEAVING, best.name)
     if _weight(view.row, best) > _weight(view.row, primary):
-        return _plan(view, Cause.WRITE_WEIGHT, best.name)
+        return _plan(view, ChangeCause.WRITE_WEIGHT, best.name)
     return None
 
 
-def _best_other(view: GroupView) -> Target | None:
+def _best_other(view: PolicyInput) -> Target | None:
     """Return the best target to hand over to, if one is fit for it."""
     record = view.record
     primary = view.probes[record.primary]
@@ -94,7 +94,7 @@
     return fit[0] if fit else None
 
 
-def rank_targets(view: GroupView) -> list[Target]:
+def rank_targets(view: PolicyInput) -> list[Target]:
     """Return the targets in the order in which they should be primary."""
 
     def merit(target: Target) -> tuple[bool, int, tuple[int, int]]:
@@ -105,11 +105,13 @@
     return sorted(view.record.targets, key=merit, reverse=True)
 
 
-def _plan(view: GroupView, cause: Cause, first: str = "") -> Plan:
+def _plan(
+    view: PolicyInput, cause: ChangeCause, first: str = ""
+) -> ChangePlan:
     names = [target.name for target in rank_targets(view)]
     if first:
         names = [first]
-    return Plan(
+    return ChangePlan(
         cause=cause,
         term=view.record.term,
         primary=view.record.primary,
@@ -134,7 +136,7 @@
     return same_term and probe.last_term == primary.last_term
 
 
-def _is_leaving(view: GroupView, target: Target) -> bool:
+def _is_leaving(view: PolicyInput, target: Target) -> bool:
     probe = view.probes.get(target.name)
     said_so = probe is not None and probe.leaving
     return said_so or target.name in view.row.leaving_targets
--- a/bamboospring/process.py
+++ b/bamboospring/process.py
@@ -21,7 +21,7 @@
 from bamboospring.operators import HandleTable
 from bamboospring.operators import HandOver
 from bamboospring.operators import Operators
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.reactor import Reactor
 from bamboospring.rendezvous import Placement
@@ -168,7 +168,7 @@
         logs.configure(level=cfg.logs.level, vm=cfg.vm)
 
     def _send_hand_over(self, vm: Vm, group: str, target: str) -> None:
-        message = envelope()
+        message = new_envelope()
         order = message.init("handOver")
         order.group = group
         order.target = target
--- a/bamboospring/reads.py
+++ b/bamboospring/reads.py
@@ -198,14 +198,14 @@
             self._refuse(Reason.NOT_HOLDER)
             return
         state = self._group.state(choice.target.name)
-        state.outstanding += 1
+        state.in_flight += 1
         self._tries += 1
 
         def ready(leased: LeasedConnection | NotRun | Overloaded) -> None:
             if isinstance(leased, LeasedConnection):
                 self._send(choice, leased)
                 return
-            state.outstanding -= 1
+            state.in_flight -= 1
             if choice.replica and leased.reason is Reason.NOT_HOLDER:
                 self._shareless = True
             if choice.replica or leased.reason is Reason.TARGET_UNREACHABLE:
@@ -228,7 +228,7 @@
         state = self._group.state(choice.target.name)
 
         def answered(answer: TargetAnswer | HttpLost) -> None:
-            state.outstanding -= 1
+            state.in_flight -= 1
             lost = isinstance(answer, HttpLost)
             self._runner.pools.release(leased, healthy=not lost)
             if isinstance(answer, HttpLost):
--- a/bamboospring/records.py
+++ b/bamboospring/records.py
@@ -46,7 +46,8 @@
             primary=str(value.get("primary", "")),
             starts=tuple(_decode_start(s) for s in value.get("starts", ())),
             settled=settled,
-            torn=bool(settled) and not majorities_overlap(settled, names),
+            majority_overlap_lost=bool(settled)
+            and not majorities_overlap(settled, names),
             version=version,
         )
     except MALFORMED:
--- a/bamboospring/rendezvous.py
+++ b/bamboospring/rendezvous.py
@@ -31,28 +31,28 @@
 from bamboospring.blackboard import Vm
 
 __all__ = [
-    "BUCKETS",
-    "EvenHolders",
+    "BUCKET_COUNT",
+    "BalancedHolders",
     "HOLDERS_PER_GROUP",
     "Placement",
-    "SHARDS",
-    "WATCHERS",
-    "NEIGHBOURS",
+    "SHARD_COUNT",
+    "PLATFORM_WATCHER_COUNT",
+    "NEIGHBOUR_COUNT",
     "bucket_of",
     "choose_candidates",
     "choose_holders",
     "choose_neighbours",
     "choose_possible_holders",
-    "choose_watchers",
-    "rank",
+    "choose_platform_watchers",
+    "rank_vms",
     "shard_of",
 ]
 
-BUCKETS = 16
-SHARDS = 16
+BUCKET_COUNT = 16
+SHARD_COUNT = 16
 HOLDERS_PER_GROUP = 3
 CANDIDATES_PER_BUCKET = 3
-NEIGHBOURS = 4
+NEIGHBOUR_COUNT = 4
 # A VM takes this many times the average of groups, then it is passed over.
 # Less moves more places on each change, more leaves the fullest VM fuller.
 LOAD_FACTOR = 1.2
@@ -66,17 +66,17 @@
 JOINED_IN_PLACE = 2
 # Watching VMs cost the platform a waiting call each, whatever the size of the
 # fleet; six, in as many zones, outlast the loss of any region.
-WATCHERS = 6
+PLATFORM_WATCHER_COUNT = 6
 
 
 def bucket_of(group: str) -> int:
     """Return the lease bucket of a group, 0 to 15."""
-    return _hash(group) % BUCKETS
+    return _hash(group) % BUCKET_COUNT
 
 
 def shard_of(group: str) -> int:
     """Return the table shard of a group, 0 to 15."""
-    return _hash(group) % SHARDS
+    return _hash(group) % SHARD_COUNT
 
 
 class Named(Protocol):
@@ -90,7 +90,7 @@
 NamedT = TypeVar("NamedT", bound=Named)
 
 
-def rank(key: str, vms: Iterable[NamedT]) -> list[NamedT]:
+def rank_vms(key: str, vms: Iterable[NamedT]) -> list[NamedT]:
     """Order VMs by their weight for a key, best first.
 
     The order of any two VMs depends on nothing but the key and their names.
@@ -124,10 +124,10 @@
     eight links. So many random links keep the fleet connected, in few hops,
     when a tenth of it or a whole zone is gone.
     """
-    ranked = [vm for vm in rank(f"neighbours/{me}", vms) if vm.name != me]
+    ranked = [vm for vm in rank_vms(f"neighbours/{me}", vms) if vm.name != me]
     own = next((vm for vm in vms if vm.name == me), None)
     if own is None:
-        return tuple(ranked[:NEIGHBOURS])
+        return tuple(ranked[:NEIGHBOUR_COUNT])
     near = [vm for vm in ranked if _place(vm) == _place(own)][:2]
     beside = [
         vm
@@ -138,7 +138,7 @@
     chosen = near + beside + far
     names = {vm.name for vm in chosen}
     rest = [vm for vm in ranked if vm.name not in names]
-    return tuple(chosen + rest[: NEIGHBOURS - len(chosen)])
+    return tuple(chosen + rest[: NEIGHBOUR_COUNT - len(chosen)])
 
 
 def choose_candidates(bucket: int, vms: Iterable[Vm]) -> tuple[Vm, ...]:
@@ -146,9 +146,9 @@
     return choose_holders(f"bucket/{bucket}", vms, CANDIDATES_PER_BUCKET)
 
 
-def choose_watchers(vms: Iterable[Vm]) -> tuple[Vm, ...]:
+def choose_platform_watchers(vms: Iterable[Vm]) -> tuple[Vm, ...]:
     """Return the VMs that watch the platform on behalf of all."""
-    return choose_holders("watchers", vms, WATCHERS)
+    return choose_holders("watchers", vms, PLATFORM_WATCHER_COUNT)
 
 
 def choose_possible_holders(
@@ -169,7 +169,7 @@
     depth = _candidates_in_place(live) + JOINED_IN_PLACE
     found = []
     above: Counter[tuple[str, str]] = Counter()
-    for vm in rank(group, known):
+    for vm in rank_vms(group, known):
         if above[_place(vm)] >= depth:
             continue
         found.append(vm.name)
@@ -177,7 +177,7 @@
     return frozenset(found)
 
 
-class EvenHolders:
+class BalancedHolders:
     """The holders of all groups, with about the same number on each VM.
 
     Groups are placed in an order that all VMs compute alike, each on the VMs
@@ -304,7 +304,7 @@
         self.version = 0
         self._vms: tuple[Vm, ...] = ()
         self._known: dict[tuple[str, int], tuple[Vm, ...]] = {}
-        self._even = EvenHolders()
+        self._even = BalancedHolders()
         self._placed: frozenset[str] = frozenset()
         self._wanted: frozenset[str] = frozenset()
         self._holders: Mapping[str, tuple[Vm, ...]] = {}
@@ -357,9 +357,9 @@
         """Return the VMs that may lead a lease bucket."""
         return self._get(f"bucket/{bucket}", CANDIDATES_PER_BUCKET)
 
-    def watchers(self) -> tuple[Vm, ...]:
+    def platform_watchers(self) -> tuple[Vm, ...]:
         """Return the VMs that watch the platform on behalf of all."""
-        return self._get("watchers", WATCHERS)
+        return self._get("watchers", PLATFORM_WATCHER_COUNT)
 
     def _choose(self) -> None:
         self.version += 1
@@ -406,7 +406,7 @@
 
 
 def _ranked_live(key: str, vms: Iterable[Vm]) -> list[Vm]:
-    return rank(key, _live(vms))
+    return rank_vms(key, _live(vms))
 
 
 def _place(vm: Vm) -> tuple[str, str]:
--- a/bamboospring/routing.py
+++ b/bamboospring/routing.py
@@ -179,7 +179,7 @@
     state = group.state(target.name)
     if state.role is not Role.PRIMARY or state.term != record.term:
         return None
-    if state.leaving or now - state.seen_at > MAX_REPORT_AGE:
+    if state.leaving or now - state.last_response_at > MAX_REPORT_AGE:
         return None
     return SendWrite(target=target, term=record.term)
 
@@ -202,7 +202,7 @@
 
 def is_silent(group: Group, target: str, now: float) -> bool:
     """Tell whether a target that was heard before is not heard any more."""
-    return -1e9 < group.state(target).seen_at < now - LOST_AFTER
+    return -1e9 < group.state(target).last_response_at < now - LOST_AFTER
 
 
 def reaches_majority(group: Group, now: float) -> bool:
@@ -216,7 +216,10 @@
     targets = group.record.targets
     lost = sum(is_silent(group, target.name, now) for target in targets)
     heard = len(targets) - lost
-    return heard >= majority_size(len(targets)) and not group.record.torn
+    return (
+        heard >= majority_size(len(targets))
+        and not group.record.majority_overlap_lost
+    )
 
 
 def required_index(record: GroupRecord, token: Position) -> int:
@@ -314,7 +317,7 @@
             if not self._is_candidate(target, state, Role.REPLICA):
                 continue
             behind = state.applied < self.index
-            if behind and self.now - state.fresh_at <= READ_WAIT * 2:
+            if behind and self.now - state.caught_up_at <= READ_WAIT * 2:
                 return True
         return False
 
@@ -339,7 +342,7 @@
             and target.name not in self.needs.excluded
             and target.name not in self.row.leaving_targets
             and not state.leaving
-            and self.now - state.seen_at <= MAX_REPORT_AGE
+            and self.now - state.last_response_at <= MAX_REPORT_AGE
             and _weight(self.row, target) > 0
         )
 
@@ -347,7 +350,7 @@
         since = self.needs.fresh_since
         if since is None:
             return True
-        return min(state.fresh_at, self.confirmed) >= since
+        return min(state.caught_up_at, self.confirmed) >= since
 
 
 def _choose_primary(view: _View) -> ReadChoice:
@@ -358,7 +361,7 @@
     state = group.state(target.name)
     if state.role is not Role.PRIMARY or state.term != group.record.term:
         return Refuse(reason=Reason.NO_PRIMARY)
-    if view.now - state.seen_at > MAX_REPORT_AGE:
+    if view.now - state.last_response_at > MAX_REPORT_AGE:
         return Refuse(reason=Reason.NO_PRIMARY)
     since = view.needs.fresh_since
     if since is not None and view.confirmed < since:
@@ -410,4 +413,4 @@
 def _cost(group: Group, target: Target, zone: str) -> tuple[float, int]:
     state = group.state(target.name)
     far = target.availability_zone != zone
-    return state.outstanding + far * OTHER_ZONE_COST, -state.applied
+    return state.in_flight + far * OTHER_ZONE_COST, -state.applied
--- a/bamboospring/server.py
+++ b/bamboospring/server.py
@@ -7,7 +7,6 @@
 from bamboospring.blackboard import Target
 from bamboospring.connections import ConnectionTiming
 from bamboospring.entry_processes import EntryProcesses
-from bamboospring.facts import Facts
 from bamboospring.holder import Holder
 from bamboospring.http_client import HttpConnection
 from bamboospring.http_dialer import HttpDialer
@@ -25,6 +24,7 @@
 from bamboospring.server_metrics import watch_process
 from bamboospring.settings import Settings
 from bamboospring.share_keeper import ShareKeeper
+from bamboospring.shared_facts import SharedFacts
 from bamboospring.shares import ShareTiming
 from bamboospring.statement_server import StatementServer
 from bamboospring.status_view import StatusView
@@ -33,7 +33,7 @@
 from bamboospring.table_editor import TableEditor
 from bamboospring.table_pages import make_reach
 from bamboospring.table_pages import TablePages
-from bamboospring.watcher import Watcher
+from bamboospring.target_watcher import TargetWatcher
 
 __all__ = ["Server"]
 
@@ -50,7 +50,7 @@
             timing=CallTiming(
                 timeout=cfg.timing.platform_timeout_ms / 1000,
                 first_backoff=cfg.timing.backoff_ms / 1000,
-                longest_backoff=cfg.timing.longest_backoff_ms / 1000,
+                max_backoff=cfg.timing.longest_backoff_ms / 1000,
             ),
         )
         self.pools = Pools(
@@ -59,7 +59,7 @@
             queue_limit=cfg.limits.queue_length,
             timing=_pool_timing(cfg),
         )
-        self.watcher = Watcher(
+        self.watcher = TargetWatcher(
             reactor=to_targets,
             board=self.board,
             placement=self.placement,
@@ -79,7 +79,7 @@
             reactor=self.reactor, peers=self.peers, holder=self.holder
         )
         self.entry = self._make_entry(self.holder)
-        self.facts = Facts(
+        self.facts = SharedFacts(
             reactor=self.reactor,
             board=self.board,
             placement=self.placement,
@@ -101,7 +101,7 @@
                 single_vm=cfg.single_vm,
             ),
         ).register(self)
-        self.facts.sync.on_heard.append(self.shares.record_contact)
+        self.facts.sync.on_heartbeat.append(self.shares.record_contact)
         self.entry_processes = EntryProcesses(
             board=self.board, peers=self.peers, now=self.reactor.now
         )
@@ -114,8 +114,8 @@
             platform=self.platform,
             timing=LeaseTiming(
                 duration=cfg.lease.duration_ms / 1000,
-                renew=cfg.lease.renew_ms / 1000,
-                margin=cfg.lease.margin_ms / 1000,
+                renew_interval=cfg.lease.renew_ms / 1000,
+                safety_margin=cfg.lease.margin_ms / 1000,
             ),
             publish=self.facts.publish,
         ).register(self)
@@ -131,7 +131,7 @@
                 reactor=self.reactor,
                 platform=self.platform,
                 reach=make_reach(to_targets),
-                on_stored=self.facts.store.take_shard_value,
+                on_stored=self.facts.store.apply_shard_value,
             ),
         )
         status = StatusView(
--- a/bamboospring/sessions/catalog_keeper.py
+++ b/bamboospring/sessions/catalog_keeper.py
@@ -96,7 +96,7 @@
 
         The answer may have been another VM's, which has passed it on.
         """
-        return max(self._watch.answered_at, self._relayed_at)
+        return max(self._watch.last_response_at, self._relayed_at)
 
     def start(self) -> None:
         """Follow from now on."""
@@ -179,7 +179,7 @@
 
     def _confirm_read(self, instant: float) -> None:
         """Confirm by what the store answered to a question of an instant."""
-        if not self._platform.may_lack(instant):
+        if not self._platform.may_be_incomplete(instant):
             self._confirm(instant)
 
     def _confirm(self, instant: float) -> None:
--- a/bamboospring/sessions/forwarded_attempt.py
+++ b/bamboospring/sessions/forwarded_attempt.py
@@ -19,7 +19,7 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.sessions.forward_messages import decode_result
 from bamboospring.sessions.forward_messages import encode_statement
@@ -86,7 +86,7 @@
             proof_age=now - run.group.proof.asked_at,
             through=self.holder.name,
         )
-        message = envelope()
+        message = new_envelope()
         ask = message.init("heldAsk")
         ask.vm = runner.board.vm
         ask.number = self.number
@@ -100,7 +100,7 @@
         """Tell the holder that nobody waits for the answer."""
         if self.over:
             return
-        message = envelope()
+        message = new_envelope()
         cancel = message.init("heldCancel")
         cancel.vm = self.run.runner.board.vm
         cancel.number = self.number
--- a/bamboospring/sessions/holder_server.py
+++ b/bamboospring/sessions/holder_server.py
@@ -10,7 +10,7 @@
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
 from bamboospring.pool import LeasedConnection
@@ -60,8 +60,8 @@
         self.pools = pools
         self._held: dict[tuple[str, int], _Held] = {}
         self.taken = 0
-        peers.handle("heldAsk", self._on_ask)
-        peers.handle("heldCancel", self._on_cancel)
+        peers.add_handler("heldAsk", self._on_ask)
+        peers.add_handler("heldCancel", self._on_cancel)
 
     def _on_ask(self, message: Any, reply: Reply) -> None:
         ask = message.heldAsk
@@ -70,7 +70,7 @@
 
         def done(result: ForwardResult) -> None:
             self._held.pop(key, None)
-            answer = envelope()
+            answer = new_envelope()
             answer.init("heldAnswer").head = encode_result(result)
             reply(answer)
             if not isinstance(result, TargetReply):
--- a/bamboospring/sessions/leader_lease.py
+++ b/bamboospring/sessions/leader_lease.py
@@ -17,13 +17,13 @@
 from bamboospring.lease import LeaseKeeper
 from bamboospring.lease import LeaseTiming
 from bamboospring.lease import LeaseValue
+from bamboospring.lease import ObservedLease
 from bamboospring.lease import ReadLease
-from bamboospring.lease import SeenLease
 from bamboospring.lease import WriteLease
+from bamboospring.lease_client import decode_lease
 from bamboospring.lease_client import encode_lease
-from bamboospring.lease_client import read_lease
-from bamboospring.lease_client import report_to_keeper
-from bamboospring.lease_client import Result as LeaseResult
+from bamboospring.lease_client import LeaseCallResult as LeaseResult
+from bamboospring.lease_client import pass_result_to_keeper
 from bamboospring import logs
 from bamboospring.object_store import Found
 from bamboospring.platform_client import PlatformClient
@@ -114,7 +114,7 @@
         """Return where other VMs reach the holder, as last seen."""
         if self._told.version > self._keeper.as_lease().version:
             return self._told.address
-        return self._keeper.address()
+        return self._keeper.holder_address()
 
     def record_holder(self, holder: LeaseHolder) -> None:
         """Take from a VM that it has taken the lease.
@@ -143,16 +143,16 @@
             address=self.holder_address(),
             era=era_of(version),
         )
-        seen = SeenLease(version=version, value=value)
+        seen = ObservedLease(version=version, value=value)
         self._take_seen(seen, asked_at)
 
-    def _take_seen(self, seen: SeenLease, asked_at: float) -> None:
+    def _take_seen(self, seen: ObservedLease, asked_at: float) -> None:
         now = self._reactor.now()
         if not self._awaiting_read:
-            self._keeper.noticed(now, seen)
+            self._keeper.on_observed(now, seen)
             return
         self._awaiting_read = False
-        self._keeper.read(asked_at, now, seen)
+        self._keeper.on_read(asked_at, now, seen)
 
     def step(self) -> None:
         """Make the call that is due, if any."""
@@ -184,7 +184,7 @@
 
         def on_result(result: LeaseResult) -> None:
             now = self._reactor.now()
-            report_to_keeper(self._keeper, action, result, sent_at, now)
+            pass_result_to_keeper(self._keeper, action, result, sent_at, now)
 
         self._platform.put(
             RECORD_KIND,
@@ -198,14 +198,16 @@
 
     def _lease_seen(self, found: Found, asked_at: float) -> None:
         if found.name == LEASE_NAME:
-            seen = read_lease(found.version, found.value)
+            seen = decode_lease(found.version, found.value)
             self._take_seen(seen, asked_at)
 
     def _records_read(self, asked_at: float, era: int) -> None:
         """Note that the records were read and there was no lease in them."""
         if self._awaiting_read:
             self._awaiting_read = False
-            seen = SeenLease(
-                version=0, value=read_lease(0, None).value, missing_in=era
+            seen = ObservedLease(
+                version=0,
+                value=decode_lease(0, None).value,
+                missing_in_era=era,
             )
-            self._keeper.read(asked_at, self._reactor.now(), seen)
+            self._keeper.on_read(asked_at, self._reactor.now(), seen)
--- a/bamboospring/sessions/node.py
+++ b/bamboospring/sessions/node.py
@@ -118,10 +118,12 @@
             address=cfg.platform,
             timing=CallTiming(
                 timeout=cfg.timing.platform_timeout_ms / 1000,
-                longest_backoff=cfg.timing.longest_backoff_ms / 1000,
-                least_timeout=LEAST_STORE_TIMEOUT,
+                max_backoff=cfg.timing.longest_backoff_ms / 1000,
+                min_timeout=LEAST_STORE_TIMEOUT,
                 watch_margin=WATCH_MARGIN,
-                large=frozenset({CATALOG_PURPOSE, outside.catalog_kind}),
+                large_purposes=frozenset(
+                    {CATALOG_PURPOSE, outside.catalog_kind}
+                ),
             ),
             dialect=outside.dialect,
         )
@@ -223,9 +225,9 @@
             releases=self.releases,
             timing=LeaseTiming(
                 duration=self.cfg.lease.duration_ms / 1000,
-                renew=self.cfg.lease.renew_ms / 1000,
-                margin=self.cfg.lease.margin_ms / 1000,
-                stagger=LEASE_STAGGER,
+                renew_interval=self.cfg.lease.renew_ms / 1000,
+                safety_margin=self.cfg.lease.margin_ms / 1000,
+                stagger_delay=LEASE_STAGGER,
             ),
         )
 
--- a/bamboospring/sessions/proof_release.py
+++ b/bamboospring/sessions/proof_release.py
@@ -15,7 +15,7 @@
 
 from bamboospring import logs
 from bamboospring.object_store import Found
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
@@ -58,7 +58,7 @@
         self._peers = peers
         self._registry = registry
         self._records = records
-        peers.handle("recordNews", self._on_news)
+        peers.add_handler("recordNews", self._on_news)
 
     def ask_all(
         self, record: PrimaryRecord, on_released: Callable[[], None]
@@ -98,7 +98,7 @@
 
     def tell_leading(self, version: int) -> None:
         """Tell all VMs that this one has the lease, at this version."""
-        message = envelope()
+        message = new_envelope()
         leading = message.init("leading")
         leading.vm = self._board.vm
         leading.address = self._registry.local_vm.address
@@ -174,7 +174,7 @@
             self._records.request_read(record.group)
 
         def done() -> None:
-            answer = envelope()
+            answer = new_envelope()
             seen = answer.init("recordSeen")
             seen.vm = self._board.vm
             seen.version = record.version
@@ -207,7 +207,7 @@
 
 
 def _news(record: PrimaryRecord) -> Any:
-    message = envelope()
+    message = new_envelope()
     message.init("recordNews").record = orjson.dumps(
         {
             "name": record.group,
--- a/bamboospring/sessions/quota_client.py
+++ b/bamboospring/sessions/quota_client.py
@@ -17,12 +17,12 @@
 
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Timer
-from bamboospring.rendezvous import rank
+from bamboospring.rendezvous import rank_vms
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.quota_counter import QuotaCounter
 from bamboospring.sessions.quota_holders import counting_vm
@@ -116,7 +116,7 @@
         if holder == self._counter.me:
             self._counter.give_back(admitted.team, 1)
             return
-        message = envelope()
+        message = new_envelope()
         body = message.init("quotaReturn")
         body.team = admitted.team
         body.count = 1
@@ -150,7 +150,7 @@
         assert holders is not None
         zones = [zone for zone in zones_of(holders.vms) if zone != own]
         named = [_Zone(name=zone) for zone in zones]
-        ranked = rank(f"{self._board.vm}/{team}", named)
+        ranked = rank_vms(f"{self._board.vm}/{team}", named)
         return [own, *(zone.name for zone in ranked)]
 
     def _ask(self, team: str, queue: _TeamQueue, holder: QuotaVm) -> None:
@@ -161,7 +161,7 @@
             return
         queue.asking = True
         asked_at = self._reactor.now()
-        message = envelope()
+        message = new_envelope()
         ask = message.init("quotaAsk")
         ask.team = team
         ask.wanted = wanted
--- a/bamboospring/sessions/quota_counter.py
+++ b/bamboospring/sessions/quota_counter.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
 from bamboospring.reactor import Reactor
@@ -44,8 +44,8 @@
         self._quotas = TeamQuotas(tolerance=tolerance)
         self._holders: QuotaHolders | None = None
         self.asked = 0
-        peers.handle("quotaAsk", self._on_ask)
-        peers.handle("quotaReturn", self._on_return)
+        peers.add_handler("quotaAsk", self._on_ask)
+        peers.add_handler("quotaReturn", self._on_return)
 
     @property
     def me(self) -> QuotaVm:
@@ -89,7 +89,7 @@
     def _on_ask(self, message: Any, reply: Reply) -> None:
         ask = message.quotaAsk
         allowance = self.take(ask.team, ask.wanted)
-        answer = envelope()
+        answer = new_envelope()
         body = answer.init("quotaAnswer")
         if allowance is not None:
             body.counts = True
--- a/bamboospring/sessions/quota_holders.py
+++ b/bamboospring/sessions/quota_holders.py
@@ -23,7 +23,7 @@
 import dataclasses
 from dataclasses import dataclass
 
-from bamboospring.rendezvous import rank
+from bamboospring.rendezvous import rank_vms
 from bamboospring.store_version import UnsettledState
 from bamboospring.store_version import VersionedState
 
@@ -76,7 +76,7 @@
     chosen: list[QuotaVm] = []
     for zone, vms in sorted(zones.items()):
         count = -(-len(vms) // VMS_PER_HOLDER)
-        chosen.extend(rank(zone, vms)[:count])
+        chosen.extend(rank_vms(zone, vms)[:count])
     return tuple(sorted(chosen, key=lambda vm: vm.name))
 
 
@@ -130,7 +130,7 @@
 ) -> QuotaVm | None:
     """Return who counts for a team in a zone; None if no VM there does."""
     in_zone = [vm for vm in vms if vm.availability_zone == zone]
-    return next(iter(rank(team, in_zone)), None)
+    return next(iter(rank_vms(team, in_zone)), None)
 
 
 def may_count(
--- a/bamboospring/sessions/quota_keeper.py
+++ b/bamboospring/sessions/quota_keeper.py
@@ -115,7 +115,7 @@
             self._board.quota_holders,
             self._board.quota_unsettled,
         )
-        returned_at = self._platform.returned_at
+        returned_at = self._platform.restored_at
         if known is None or unsettled is None or returned_at is None:
             return
         wanted = settled_holders(
--- a/bamboospring/sessions/relay.py
+++ b/bamboospring/sessions/relay.py
@@ -19,7 +19,7 @@
 
 from bamboospring.blackboard import Target
 from bamboospring import logs
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
@@ -153,8 +153,8 @@
         self._zone_relays = ZoneRelays()
         self._zone_members = ZoneMembers()
         self._holders = holders
-        peers.handle("factsAsk", self._on_ask)
-        peers.handle("leading", self._on_leading)
+        peers.add_handler("factsAsk", self._on_ask)
+        peers.add_handler("leading", self._on_leading)
 
     def start(self) -> None:
         """Ask now and from then on."""
@@ -179,7 +179,7 @@
     def _ask(self, address: str, leader: str) -> None:
         """Ask a VM for facts; if the relay has none, ask the leader."""
         asked_at = self._reactor.now()
-        message = envelope()
+        message = new_envelope()
         ask = message.init("factsAsk")
         ask.vm = self._board.vm
         ask.address = self._registry.local_vm.address
@@ -344,7 +344,7 @@
     def _on_ask(self, message: Any, reply: Reply) -> None:
         ask = message.factsAsk
         now = self._reactor.now()
-        answer = envelope()
+        answer = new_envelope()
         facts = answer.init("facts")
         if self._duty.leads:
             facts.informed = True
--- a/bamboospring/sessions/runner.py
+++ b/bamboospring/sessions/runner.py
@@ -140,7 +140,7 @@
             return None
         # A read that waits for a link that never stands, or for a holder that
         # says nothing any more, waits through most of its time for nothing.
-        silence = self.peers.silence(holder.address)
+        silence = self.peers.unresponsive_for(holder.address)
         if silence is None or silence > HOLDER_SILENCE:
             return None
         return holder
--- a/bamboospring/sessions/session_shutdown.py
+++ b/bamboospring/sessions/session_shutdown.py
@@ -16,9 +16,9 @@
 from bamboospring.components import BaseComponent
 from bamboospring.components import handler
 
+from bamboospring.drain import drain_phase
+from bamboospring.drain import DrainPhase
 from bamboospring.drain import DrainPlan
-from bamboospring.drain import judge_phase
-from bamboospring.drain import Phase
 from bamboospring.drain import SIGNALS
 from bamboospring import logs
 from bamboospring.outcomes import Reason
@@ -50,10 +50,10 @@
 def plan_shutdown(begun_at: float, grace: float) -> DrainPlan:
     """Return the times of a shutdown that has `grace` seconds."""
     return DrainPlan(
-        begun_at=begun_at,
-        notice=grace * NOTICED,
-        patience=grace * (GONE - NOTICED),
-        limit=grace * GONE,
+        started_at=begun_at,
+        notice_period=grace * NOTICED,
+        idle_grace=grace * (GONE - NOTICED),
+        max_duration=grace * GONE,
     )
 
 
@@ -133,19 +133,19 @@
     def _check(self) -> None:
         assert self._plan is not None
         now = self._reactor.now()
-        elapsed = now - self._plan.begun_at
+        elapsed = now - self._plan.started_at
         sessions = self._callers.sessions()
         self._close_some(elapsed)
         if elapsed >= self._grace * TRANSACTIONS_END:
             self._end_transactions()
         work = sum(not session.is_idle for session in sessions)
-        phase = judge_phase(
+        phase = drain_phase(
             self._plan,
             now=now,
             work=work + self._held(),
             connections=len(sessions),
         )
-        if phase is Phase.FAREWELL:
+        if phase is DrainPhase.FAREWELL:
             self._end(elapsed)
             return
         self._reactor.call_later(CHECK_INTERVAL, self._check)
--- a/bamboospring/sessions/target_keeper.py
+++ b/bamboospring/sessions/target_keeper.py
@@ -157,7 +157,9 @@
 
     def _still_leaving(self, news: ListedTarget) -> ListedTarget:
         """Keep in mind that a target leaves, though the store has lost it."""
-        if news.leaving or not self._platform.may_lack(self._asked_at):
+        if news.leaving or not self._platform.may_be_incomplete(
+            self._asked_at
+        ):
             return news
         old = self._board.group(news.group).targets.get(news.target.name)
         leaving = old is not None and old.leaving and old.target == news.target
--- a/bamboospring/sessions/vm_registry.py
+++ b/bamboospring/sessions/vm_registry.py
@@ -91,7 +91,7 @@
 
     def start(self, on_filed: Callable[[], None]) -> None:
         """File the entry, call back once it is, and go on renewing it."""
-        self._platform.on_return.append(self._store_returned)
+        self._platform.on_restored.append(self._store_returned)
         self._file(on_filed)
 
     def can_take_proofs(self, now: float) -> bool:
@@ -100,7 +100,7 @@
 
     def is_whole(self, now: float) -> bool:
         """Tell whether every VM that may hold a proof is on the list."""
-        returned_at = self._platform.returned_at
+        returned_at = self._platform.restored_at
         return returned_at is None or now - returned_at >= ISOLATED_AFTER
 
     def _store_returned(self) -> None:
--- a/bamboospring/sessions/zone_holders.py
+++ b/bamboospring/sessions/zone_holders.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from bamboospring.rendezvous import rank
+from bamboospring.rendezvous import rank_vms
 
 __all__ = ["MIN_CONNECTIONS", "ZoneHolders", "ZoneVm"]
 
@@ -111,5 +111,5 @@
     def _order(self, target: str) -> list[ZoneVm]:
         found = self._ranked.get(target)
         if found is None:
-            found = self._ranked[target] = rank(target, self.listed)
+            found = self._ranked[target] = rank_vms(target, self.listed)
         return found
--- a/bamboospring/share_keeper.py
+++ b/bamboospring/share_keeper.py
@@ -19,7 +19,7 @@
 from bamboospring.blackboard import Target
 from bamboospring.blackboard import Vm
 from bamboospring import logs
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply as SendReply
@@ -102,7 +102,7 @@
         self._targets: dict[str, tuple[Target, ...]] = {}
         self._known: dict[str, Vm] = {}
         self._ticked_at = -1e9
-        peers.handle("shareRequest", self._on_request)
+        peers.add_handler("shareRequest", self._on_request)
 
     def record_contact(self, revision: int) -> None:
         """Note that a VM with this revision of the list was heard."""
@@ -212,7 +212,7 @@
         now = self._reactor.now()
         self._check_pause(now)
         self.vm_list_monitor.record_contact(
-            now=self._board.vms_seen_at, revision=self._board.vms_revision
+            now=self._board.vms_confirmed_at, revision=self._board.vms_revision
         )
         for name, shares in list(self._groups.items()):
             self._report_use(name, shares)
@@ -253,7 +253,7 @@
             if self._groups.get(name) is shares:
                 self._give(name, shares)
 
-        message = envelope()
+        message = new_envelope()
         out = message.init("shareRequest")
         out.group = name
         out.vm = self._board.me.name
@@ -295,7 +295,7 @@
 
 
 def _encode_reply(name: str, reply: Reply) -> Any:
-    message = envelope()
+    message = new_envelope()
     out = message.init("shareRelease")
     out.group = name
     out.vm = reply.vm
--- a/bamboospring/facts.py
+++ b/bamboospring/shared_facts.py
@@ -1,7 +1,7 @@
 """Keep the blackboard's shared facts up to date: VMs, groups and table.
 
 This component wires the ways by which facts arrive and starts them. What may
-be taken is decided in `bamboospring.spread`.
+be taken is decided in `bamboospring.fact_versions`.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from bamboospring.rendezvous import Placement
 from bamboospring.settings import Timing
 
-__all__ = ["Facts"]
+__all__ = ["SharedFacts"]
 
 
-class Facts(BaseComponent):
+class SharedFacts(BaseComponent):
     """Read, spread and repair shared facts.
 
     `seeds` are peers' addresses to ask while the platform has not told which
@@ -100,7 +100,7 @@
         )
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Say whether what is in force here can be worked with.
 
         The table must have been read from the platform, or, in an outage,
@@ -147,7 +147,7 @@
     def _prepare(self) -> None:
         """Ask again and again until there is enough to begin with."""
         self._judge_ready()
-        if self.ready:
+        if self.is_ready:
             return
         if not self._board.vms:
             for address in self._seeds:
@@ -177,7 +177,7 @@
         self.sync.compare_with(address, name, done)
 
     def _judge_ready(self) -> None:
-        if self.ready or not self._board.vms:
+        if self.is_ready or not self._board.vms:
             return
         if not (self._table_read or self._has_copies()):
             return
@@ -193,4 +193,4 @@
         names = {vm.name for vm in self.sync.neighbours()}
         tried = self._answered | self._silent
         answered = names & self._answered
-        return bool(answered) and names <= tried and self.sync.idle
+        return bool(answered) and names <= tried and self.sync.is_idle
--- a/bamboospring/statement_server.py
+++ b/bamboospring/statement_server.py
@@ -23,7 +23,7 @@
     ) -> None:
         self._reactor = reactor
         self._holder = holder
-        peers.handle("statement", self._on_statement)
+        peers.add_handler("statement", self._on_statement)
 
     def _on_statement(self, message: Any, reply: Reply) -> None:
         stmt = decode_statement(message, self._reactor.now())
--- a/bamboospring/status_view.py
+++ b/bamboospring/status_view.py
@@ -139,12 +139,12 @@
             "applied": state.applied,
             "lag_ms": _lag(group, state, now),
             "heard_ms": (
-                _milliseconds(now - state.seen_at)
-                if state.seen_at > NEVER
+                _milliseconds(now - state.last_response_at)
+                if state.last_response_at > NEVER
                 else None
             ),
             "leaving": state.leaving,
-            "outstanding": state.outstanding,
+            "outstanding": state.in_flight,
             "slots": target.slots,
             "connections": target.connections,
             "here": self._use(target),
@@ -196,12 +196,12 @@
     One that has all that its primary is known to have lags by nothing, also
     if the two were last compared a while ago.
     """
-    if state.role is not Role.REPLICA or state.fresh_at <= NEVER:
+    if state.role is not Role.REPLICA or state.caught_up_at <= NEVER:
         return None
     primary = group.states.get(group.record.primary)
     if primary is not None and state.applied >= primary.received:
         return 0
-    return _milliseconds(now - state.fresh_at)
+    return _milliseconds(now - state.caught_up_at)
 
 
 def _milliseconds(seconds: float) -> int:
--- a/bamboospring/steward.py
+++ b/bamboospring/steward.py
@@ -24,26 +24,26 @@
 from bamboospring.change_runner import TICK
 from bamboospring.events import group_doubted
 from bamboospring.lease import LeaseTiming
-from bamboospring.lease_client import Leases
+from bamboospring.lease_client import LeaseManager
 from bamboospring import logs
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
 from bamboospring.platform_client import PlatformClient
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import OrderKind
 from bamboospring.primary_policy import choose_plan
-from bamboospring.primary_policy import GroupView
 from bamboospring.primary_policy import orders_to_rejoin
-from bamboospring.promotion import Order
-from bamboospring.promotion import OrderKind
+from bamboospring.primary_policy import PolicyInput
 from bamboospring.reactor import Reactor
 from bamboospring.rendezvous import bucket_of
 from bamboospring.rendezvous import Placement
 from bamboospring.rendezvous import shard_of
-from bamboospring.steward_care import Care
-from bamboospring.suspicion import Verdict
+from bamboospring.steward_state import StewardGroupState
+from bamboospring.suspicion import TargetVerdict
+from bamboospring.suspicion_exchange import SuspicionExchange
 from bamboospring.target_api import ProbeResult
 from bamboospring.target_orders import send_order
-from bamboospring.witnesses import Witnesses
 
 __all__ = ["Steward"]
 
@@ -79,9 +79,9 @@
         self._board = board
         self._placement = placement
         self._peers = peers
-        self._care: dict[str, Care] = {}
+        self._care: dict[str, StewardGroupState] = {}
         self._buckets: dict[str, int] = {}
-        self.leases = Leases(
+        self.leases = LeaseManager(
             reactor=reactor, board=board, platform=platform, timing=timing
         )
         self._runner = ChangeRunner(
@@ -92,7 +92,7 @@
             publish=publish,
             chance=chance,
         )
-        self._witnesses = Witnesses(
+        self._witnesses = SuspicionExchange(
             reactor=reactor,
             board=board,
             placement=placement,
@@ -102,7 +102,7 @@
             judge=self._judge,
             send=partial(send_order, reactor),
         )
-        peers.handle("handOver", self._on_hand_over)
+        peers.add_handler("handOver", self._on_hand_over)
 
     @handler("started")
     def _on_started(self, *_args: Any) -> None:
@@ -113,7 +113,7 @@
         return self.leases.holds(self._bucket(group))
 
     def report(
-        self, group: str, target: str, term: int, verdict: Verdict
+        self, group: str, target: str, term: int, verdict: TargetVerdict
     ) -> None:
         """Tell the candidates of the group's bucket of a judgement."""
         self._witnesses.report(group, target, term, verdict)
@@ -129,7 +129,7 @@
 
     def hint(self, group: str, term: int) -> None:
         """Tell the candidates that a group's targets need a look."""
-        message = envelope()
+        message = new_envelope()
         body = message.init("handOver")
         body.group = group
         body.term = term
@@ -221,7 +221,7 @@
         if care is not None:
             self._runner.drop(name, care)
 
-    def _ask_round(self, group: Group, care: Care) -> None:
+    def _ask_round(self, group: Group, care: StewardGroupState) -> None:
         """Ask all targets of a group, and put stray ones right."""
         care.round_at = self._reactor.now()
         for target in group.record.targets:
@@ -235,7 +235,7 @@
     def _probed(
         self,
         group: Group,
-        care: Care,
+        care: StewardGroupState,
         target: Target,
         version: int,
         done: bool,
@@ -273,7 +273,9 @@
 
     # Deciding.
 
-    def _judge(self, name: str, group: Group, care: Care, now: float) -> None:
+    def _judge(
+        self, name: str, group: Group, care: StewardGroupState, now: float
+    ) -> None:
         if care.change is not None or now < care.retry_at:
             return
         care.judge_at = now + JUDGE_INTERVAL
@@ -282,8 +284,8 @@
             self._runner.begin(name, group, care, plan)
 
     def _view(
-        self, name: str, group: Group, care: Care, now: float
-    ) -> GroupView:
+        self, name: str, group: Group, care: StewardGroupState, now: float
+    ) -> PolicyInput:
         record = group.record
         care.suspicions.forget_before(record.term)
         zones = [vm.availability_zone for vm in self._placement.holders(name)]
@@ -296,7 +298,7 @@
         elif care.condemned_at is None:
             care.condemned_at = now
         since = now if care.condemned_at is None else care.condemned_at
-        return GroupView(
+        return PolicyInput(
             record=record,
             row=self._board.row(name, shard_of(name)),
             probes={
@@ -311,8 +313,8 @@
 
     # Helpers.
 
-    def _care_of(self, group: str) -> Care:
-        return self._care.setdefault(group, Care())
+    def _care_of(self, group: str) -> StewardGroupState:
+        return self._care.setdefault(group, StewardGroupState())
 
     def _bucket(self, group: str) -> int:
         found = self._buckets.get(group)
--- a/bamboospring/steward_care.py
+++ b/bamboospring/steward_state.py
@@ -5,20 +5,20 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-from bamboospring.promotion import Change
+from bamboospring.primary_change import PrimaryChange
 from bamboospring.suspicion import Suspicions
 from bamboospring.target_api import ProbeResult
 
-__all__ = ["Care"]
+__all__ = ["StewardGroupState"]
 
 
 @dataclass(slots=True, kw_only=True)
-class Care:
+class StewardGroupState:
     """What a steward, or one that may become it, knows of a group."""
 
     suspicions: Suspicions = field(default_factory=Suspicions)
     probes: dict[str, tuple[ProbeResult, float]] = field(default_factory=dict)
-    change: Change | None = None
+    change: PrimaryChange | None = None
     failures: int = 0
     retry_at: float = -1e9
     round_at: float = -1e9
--- a/bamboospring/suspicion.py
+++ b/bamboospring/suspicion.py
@@ -15,10 +15,10 @@
 
 __all__ = [
     "AwakeClock",
-    "Report",
+    "SuspicionReport",
     "Suspicions",
     "TargetWatch",
-    "Verdict",
+    "TargetVerdict",
     "WatchTiming",
 ]
 
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Verdict:
+class TargetVerdict:
     """A holder's judgement of a target; `silent` is in seconds."""
 
     suspected: bool
@@ -91,18 +91,18 @@
         """Note a failure that tells nothing but that no answer came."""
         self._refused_at = None
 
-    def verdict(self, now: float, awake_since: float) -> Verdict:
+    def verdict(self, now: float, awake_since: float) -> TargetVerdict:
         """Judge the target."""
         silent = now - max(self._heard_at, awake_since)
         suspected = silent >= self._timing.silent
         if self._refused_at is not None:
             refused = now - max(self._refused_at, awake_since)
             suspected = suspected or refused >= self._timing.refused
-        return Verdict(suspected=suspected, silent=max(silent, 0.0))
+        return TargetVerdict(suspected=suspected, silent=max(silent, 0.0))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Report:
+class SuspicionReport:
     """One VM's judgement of a target, with its place and when it came."""
 
     target: str
@@ -118,9 +118,11 @@
 class Suspicions:
     """What was reported of the targets of one group, newest per VM."""
 
-    reports: dict[tuple[str, str], Report] = field(default_factory=dict)
+    reports: dict[tuple[str, str], SuspicionReport] = field(
+        default_factory=dict
+    )
 
-    def take(self, report: Report) -> None:
+    def take(self, report: SuspicionReport) -> None:
         """Keep a report in place of the same VM's earlier one."""
         key = report.target, report.vm
         if report.suspected:
@@ -128,7 +130,9 @@
         else:
             self.reports.pop(key, None)
 
-    def witnesses(self, target: str, term: int, now: float) -> list[Report]:
+    def witnesses(
+        self, target: str, term: int, now: float
+    ) -> list[SuspicionReport]:
         """Return the reports that count against a target now."""
         return [
             report
--- a/bamboospring/witnesses.py
+++ b/bamboospring/suspicion_exchange.py
@@ -12,25 +12,25 @@
 from bamboospring.blackboard import GroupRecord
 from bamboospring.blackboard import Target
 from bamboospring.blackboard import Vm
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import PeerLost
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
-from bamboospring.promotion import Order
-from bamboospring.promotion import OrderKind
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import OrderKind
 from bamboospring.reactor import Reactor
 from bamboospring.rendezvous import bucket_of
 from bamboospring.rendezvous import choose_holders
 from bamboospring.rendezvous import Placement
 from bamboospring.routing import find_target
-from bamboospring.steward_care import Care
-from bamboospring.suspicion import Report
-from bamboospring.suspicion import Verdict
+from bamboospring.steward_state import StewardGroupState
+from bamboospring.suspicion import SuspicionReport
+from bamboospring.suspicion import TargetVerdict
 from bamboospring.target_api import ProbeResult
 from bamboospring.target_orders import OnOrdered
 from bamboospring.target_orders import ORDER_TIMEOUT
 
-__all__ = ["Witnesses", "choose_witnesses"]
+__all__ = ["SuspicionExchange", "choose_witnesses"]
 
 # A suspected primary is asked by the steward itself at most this often, in
 # seconds; so are the VMs of other zones.
@@ -54,7 +54,7 @@
     return choose_holders(f"witness/{group}", near or others, WITNESSES_ASKED)
 
 
-class Witnesses:
+class SuspicionExchange:
     """Take this VM's judgements to those who may lead, and theirs in.
 
     `judge` is called whenever a led group's reports have changed. `send`
@@ -69,8 +69,8 @@
         placement: Placement,
         peers: Peers,
         leads: Callable[[str], bool],
-        care_of: Callable[[str], Care],
-        judge: Callable[[str, Group, Care, float], None],
+        care_of: Callable[[str], StewardGroupState],
+        judge: Callable[[str, Group, StewardGroupState, float], None],
         send: Callable[[Order, OnOrdered], None],
     ) -> None:
         self._reactor = reactor
@@ -81,11 +81,11 @@
         self._care_of = care_of
         self._judge = judge
         self._send = send
-        peers.handle("suspicion", self._on_suspicion)
-        peers.handle("witness", self._on_witness)
+        peers.add_handler("suspicion", self._on_suspicion)
+        peers.add_handler("witness", self._on_witness)
 
     def report(
-        self, group: str, target: str, term: int, verdict: Verdict
+        self, group: str, target: str, term: int, verdict: TargetVerdict
     ) -> None:
         """Tell the candidates of the group's bucket of a judgement."""
         message = self._suspicion(group, target, term, verdict)
@@ -97,9 +97,9 @@
             self._take_suspicion(message.suspicion)
 
     def _suspicion(
-        self, group: str, target: str, term: int, verdict: Verdict
+        self, group: str, target: str, term: int, verdict: TargetVerdict
     ) -> Any:
-        message = envelope()
+        message = new_envelope()
         body = message.init("suspicion")
         body.group = group
         body.target = target
@@ -116,7 +116,7 @@
     def _take_suspicion(self, body: Any) -> None:
         now = self._reactor.now()
         care = self._care_of(body.group)
-        report = Report(
+        report = SuspicionReport(
             target=body.target,
             term=body.term,
             vm=body.vm,
@@ -133,7 +133,9 @@
             self._check_primary(group, care, now)
         self._judge(body.group, group, care, now)
 
-    def _check_primary(self, group: Group, care: Care, now: float) -> None:
+    def _check_primary(
+        self, group: Group, care: StewardGroupState, now: float
+    ) -> None:
         """Ask a suspected primary ourselves: the steward is a witness too.
 
         With two of three holders lost together with the primary's zone, the
@@ -149,7 +151,7 @@
         def answered(done: bool, probe: ProbeResult | None) -> None:
             works = probe is not None and probe.term == record.term
             care.suspicions.take(
-                Report(
+                SuspicionReport(
                     target=target.name,
                     term=record.term,
                     vm=f"{me.name}/steward",
@@ -166,7 +168,9 @@
 
     # The word of other zones.
 
-    def _ask_others(self, group: Group, care: Care, target: Target) -> None:
+    def _ask_others(
+        self, group: Group, care: StewardGroupState, target: Target
+    ) -> None:
         """Have VMs of other zones look, if all witnesses are of one zone.
 
         The only holder that still reaches us may be of the steward's zone,
@@ -204,7 +208,7 @@
 
         def answered(done: bool, probe: ProbeResult | None) -> None:
             works = probe is not None and probe.term == term
-            verdict = Verdict(suspected=not works, silent=0.0)
+            verdict = TargetVerdict(suspected=not works, silent=0.0)
             reply(self._suspicion(group, name, term, verdict))
 
         self._send(Order(kind=OrderKind.PROBE, target=target), answered)
@@ -212,7 +216,7 @@
 
 def _question(record: GroupRecord, target: Target) -> Any:
     """Return the message that asks for a judgement of a target."""
-    message = envelope()
+    message = new_envelope()
     body = message.init("witness")
     body.group = record.name
     body.target = target.name
--- a/bamboospring/target_orders.py
+++ b/bamboospring/target_orders.py
@@ -11,8 +11,8 @@
 from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
 from bamboospring.http_client import HttpLost
-from bamboospring.promotion import Order
-from bamboospring.promotion import OrderKind
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import OrderKind
 from bamboospring.reactor import Reactor
 from bamboospring.target_api import decode_probe
 from bamboospring.target_api import ProbeResult
--- a/bamboospring/watcher.py
+++ b/bamboospring/target_watcher.py
@@ -32,13 +32,13 @@
 from bamboospring.rendezvous import Placement
 from bamboospring.statements import Position
 from bamboospring.suspicion import AwakeClock
+from bamboospring.suspicion import TargetVerdict
 from bamboospring.suspicion import TargetWatch
-from bamboospring.suspicion import Verdict
 from bamboospring.suspicion import WatchTiming
 from bamboospring.target_api import decode_probe
 from bamboospring.target_api import ProbeResult
 
-__all__ = ["Watcher"]
+__all__ = ["TargetWatcher"]
 
 # Seconds. A primary must say something well within the time after which its
 # silence counts; of a replica nothing depends on hearing it without a change.
@@ -61,7 +61,7 @@
 
 
 # Gets group, target, term and the judgement of that primary.
-OnVerdict = Callable[[str, str, int, Verdict], None]
+OnVerdict = Callable[[str, str, int, TargetVerdict], None]
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -88,7 +88,7 @@
     lingers: bool = False
 
 
-class Watcher(BaseComponent):
+class TargetWatcher(BaseComponent):
     """Keep the blackboard's TargetStates of held groups up to date."""
 
     channel = "*"
@@ -112,26 +112,26 @@
         # Gets the group and term in which a steward has something to do.
         self.on_hint: Callable[[str, int], None] | None = None
         # Says whether this process still has work of a group.
-        self.still_needed: Callable[[str], bool] = lambda name: False
+        self.has_pending_work: Callable[[str], bool] = lambda name: False
 
-    def wait_majority(
+    def wait_for_majority(
         self,
         group: str,
         position: Position,
         deadline: float,
-        on_held: Callable[[bool], None],
+        on_complete: Callable[[bool], None],
     ) -> None:
         """Call back with True once a majority holds the position."""
         watched = self._watched.get(group)
         if watched is None:
-            on_held(False)
+            on_complete(False)
             return
         if held_by_majority(watched.group, position):
-            on_held(True)
+            on_complete(True)
             return
         waiting = _Waiting(
             position=position,
-            on_held=on_held,
+            on_held=on_complete,
             timer=self._reactor.call_later(
                 max(0.0, deadline - self._reactor.now()),
                 lambda: self._give_up(watched, waiting),
@@ -156,7 +156,7 @@
         state.last_term = probe.last_term
         state.leaving = probe.leaving
         state.asked_at = asked_at
-        state.seen_at = self._reactor.now()
+        state.last_response_at = self._reactor.now()
         record = watched.group.record
         if _needs_steward(record, target, probe):
             self._hint(group, watched)
@@ -239,7 +239,7 @@
         watched = self._watched.get(name)
         if watched is None:
             return False
-        if not (watched.waiting or self.still_needed(name)):
+        if not (watched.waiting or self.has_pending_work(name)):
             return False
         if not watched.lingers:
             watched.lingers = True
@@ -282,7 +282,7 @@
         for state in group.states.values():
             for seen_at, received in reversed(watched.sightings):
                 if state.applied >= received:
-                    state.fresh_at = max(state.fresh_at, seen_at)
+                    state.caught_up_at = max(state.caught_up_at, seen_at)
                     break
 
     def _note_sighting(self, watched: _Watched, asked_at: float) -> None:
@@ -331,7 +331,7 @@
     """The long poll of one target."""
 
     def __init__(
-        self, *, watcher: Watcher, group: str, target: Target
+        self, *, watcher: TargetWatcher, group: str, target: Target
     ) -> None:
         self._watcher = watcher
         self._reactor = watcher._reactor
--- a/bamboospring/transaction_runner.py
+++ b/bamboospring/transaction_runner.py
@@ -25,6 +25,7 @@
 from bamboospring.statements import Statement
 from bamboospring.statements import StepKind
 from bamboospring.target_api import TargetAnswer
+from bamboospring.target_watcher import TargetWatcher
 from bamboospring.tokens import InvalidToken
 from bamboospring.tokens import TokenCodec
 from bamboospring.transactions import Answer
@@ -32,7 +33,6 @@
 from bamboospring.transactions import RollBack
 from bamboospring.transactions import Transaction
 from bamboospring.transactions import TransactionTable
-from bamboospring.watcher import Watcher
 from bamboospring.writes import TERM_GRACE
 
 __all__ = ["TransactionRunner"]
@@ -50,7 +50,7 @@
         vm: str,
         pools: Pools,
         exchange: Exchange,
-        watcher: Watcher,
+        watcher: TargetWatcher,
         flights: Flights,
         codec: TokenCodec,
         draw_number: Callable[[], int],
@@ -256,7 +256,7 @@
         self._holding = True
         self._end(no_majority(), healthy=True)
         result = done_from(answer)
-        self._runner.watcher.wait_majority(
+        self._runner.watcher.wait_for_majority(
             self._stmt.group,
             Position(term=answer.term, index=answer.index),
             self._stmt.deadline,
--- a/bamboospring/wire.py
+++ b/bamboospring/wire.py
@@ -21,7 +21,7 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.statements import Position
 from bamboospring.statements import Statement
 from bamboospring.statements import StepKind
@@ -45,7 +45,7 @@
 
 def encode_statement(stmt: Statement, now: float) -> Any:
     """Return an Envelope; the deadline travels as time left."""
-    message = envelope()
+    message = new_envelope()
     out = message.init("statement")
     out.head = orjson.dumps(
         (
@@ -108,7 +108,7 @@
 
 def encode_outcome(outcome: Outcome) -> Any:
     """Return an Envelope with an Answer."""
-    message = envelope()
+    message = new_envelope()
     out = message.init("answer")
     match outcome:
         case Done():
--- a/bamboospring/writes.py
+++ b/bamboospring/writes.py
@@ -43,7 +43,7 @@
 from bamboospring.statements import Statement
 from bamboospring.statements import StepKind
 from bamboospring.target_api import TargetAnswer
-from bamboospring.watcher import Watcher
+from bamboospring.target_watcher import TargetWatcher
 
 __all__ = ["TERM_GRACE", "WriteRunner"]
 
@@ -87,7 +87,7 @@
         board: Blackboard,
         pools: Pools,
         exchange: Exchange,
-        watcher: Watcher,
+        watcher: TargetWatcher,
         flights: Flights,
         doubt: Callable[[str], None],
         on_begun: OnBegun,
@@ -253,11 +253,11 @@
         number = self._try
         name = choice.target.name
         state = self._group.state(name)
-        state.outstanding += 1
+        state.in_flight += 1
         self._runner.begin_try(name)
 
         def ready(leased: LeasedConnection | NotRun | Overloaded) -> None:
-            state.outstanding -= 1
+            state.in_flight -= 1
             unreachable = (
                 isinstance(leased, NotRun)
                 and leased.reason is Reason.TARGET_UNREACHABLE
@@ -285,10 +285,10 @@
         self._phase = WritePhase.SENT
         self.sent_on = leased
         state = self._group.state(choice.target.name)
-        state.outstanding += 1
+        state.in_flight += 1
 
         def answered(answer: TargetAnswer | HttpLost) -> None:
-            state.outstanding -= 1
+            state.in_flight -= 1
             self.sent_on = None
             if self._phase is not WritePhase.SENT:
                 # Given up meanwhile. A transaction that has begun after all
@@ -359,7 +359,7 @@
             self._log_if_late(position, held, since)
             self._finish(done_from(answer) if held else _no_majority())
 
-        self._runner.watcher.wait_majority(
+        self._runner.watcher.wait_for_majority(
             self._stmt.group, position, self._stmt.deadline, judged
         )
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -35,21 +35,21 @@
 import psutil
 
 from bamboospring.blackboard import Vm
+from bamboospring.fact_versions import FactVersions
+from bamboospring.fact_versions import versions_digest
 from bamboospring.group_sync import digest_names
 from bamboospring.group_sync import digest_versions
-from bamboospring.group_sync import needs_group
 from bamboospring.group_sync import QUESTIONS_PER_SECOND
 from bamboospring.group_sync import REPAIR_INTERVAL
+from bamboospring.group_sync import vms_needing_group
 from bamboospring.peers import PROTOCOL
 from bamboospring.peers import schema
-from bamboospring.rendezvous import BUCKETS
+from bamboospring.rendezvous import BUCKET_COUNT
 from bamboospring.rendezvous import choose_neighbours
-from bamboospring.rendezvous import choose_watchers
+from bamboospring.rendezvous import choose_platform_watchers
 from bamboospring.rendezvous import Placement
+from bamboospring.rendezvous import SHARD_COUNT
 from bamboospring.rendezvous import shard_of
-from bamboospring.rendezvous import SHARDS
-from bamboospring.spread import digest_of
-from bamboospring.spread import Versions
 from bamboospring.testing.http_server import Connection
 from bamboospring.testing.http_server import listening_address
 from bamboospring.testing.http_server import Reply
@@ -228,7 +228,7 @@
         self._me = me
         self._records = records
         self._placement = Placement(vms, records)
-        self._versions: tuple[int, list[int]] = (1, [0] * SHARDS)
+        self._versions: tuple[int, list[int]] = (1, [0] * SHARD_COUNT)
         self._servers: list[asyncio.Server] = []
         self._rows: dict[int, tuple[int, bytes]] = {}
         self._writer: asyncio.StreamWriter | None = None
@@ -275,7 +275,7 @@
         jobs = [self._drain(reader)]
         jobs += [self._beat(writer, name) for name in callers]
         if self._case.watcher:
-            askers = self._vms[:: len(choose_watchers(self._vms))]
+            askers = self._vms[:: len(choose_platform_watchers(self._vms))]
             jobs += [self._ask(writer, vm.name) for vm in askers]
         await asyncio.gather(*jobs)
 
@@ -317,7 +317,7 @@
         needed = {
             group: 1
             for group in self._records
-            if name in needs_group(self._placement, group)
+            if name in vms_needing_group(self._placement, group)
         }
         body = {
             "vm": name,
@@ -395,7 +395,7 @@
             {"name": name, "version": 1, "value": value}
             for name, value in self._records.items()
             if name not in have
-            and self._me.name in needs_group(self._placement, name)
+            and self._me.name in vms_needing_group(self._placement, name)
         ]
         body: dict[str, Any] = {"complete": True, "facts": facts, "want": []}
         if question.get("names") != digest_names(self._records):
@@ -411,7 +411,9 @@
 
     def _digest(self) -> int:
         revision, shards = self._versions
-        return digest_of(Versions(vms_revision=revision, shards=tuple(shards)))
+        return versions_digest(
+            FactVersions(vms_revision=revision, shards=tuple(shards))
+        )
 
 
 async def call_json(
@@ -561,7 +563,7 @@
 
     def _choose_measured(self, vms: list[Vm]) -> int:
         """Return a VM of the wanted role that holds a typical share."""
-        watchers = set(choose_watchers(vms))
+        watchers = set(choose_platform_watchers(vms))
         placement = Placement(vms, self._names)
         held: Counter[str] = Counter()
         for name in self._names:
@@ -570,7 +572,7 @@
         wanted = self._case.wanted_groups or typical
         stewards = {
             vm.name
-            for bucket in range(BUCKETS)
+            for bucket in range(BUCKET_COUNT)
             for vm in placement.candidates(bucket)
         }
         fitting = [
@@ -598,7 +600,7 @@
         for name, value in records.items():
             body = {"if_version": 0, "value": value}
             await call_json(platform, "PUT", f"/objects/group/{name}", body)
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             await self._put_shard(platform, shard, 0)
 
     async def _put_shard(
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -20,7 +20,7 @@
 from bamboospring.blackboard import Vm
 from bamboospring.rendezvous import choose_candidates
 from bamboospring.rendezvous import choose_neighbours
-from bamboospring.rendezvous import choose_watchers
+from bamboospring.rendezvous import choose_platform_watchers
 from bamboospring.rendezvous import Placement
 
 VMS = 480
@@ -122,7 +122,7 @@
 def _hops(vms: list[Vm]) -> dict[str, Any]:
     """Return how many hops an edit takes from the platform's watchers."""
     graph = _graph(vms)
-    reached = {vm.name: 0 for vm in choose_watchers(vms)}
+    reached = {vm.name: 0 for vm in choose_platform_watchers(vms)}
     front: Iterable[str] = list(reached)
     hops = 0
     while front:
--- a/features/steps/comparison_steps.py
+++ b/features/steps/comparison_steps.py
@@ -12,12 +12,12 @@
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import TableShard
 from bamboospring.blackboard import Vm
+from bamboospring.fact_versions import fact_versions
 from bamboospring.membership import Membership
 from bamboospring.peer_sync import PeerSync
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import schema
-from bamboospring.rendezvous import SHARDS
-from bamboospring.spread import versions_of
+from bamboospring.rendezvous import SHARD_COUNT
 
 ZONE = "zone-a"
 LISTED = [
@@ -75,7 +75,7 @@
         self.board = Blackboard(me=vm)
         self.board.vms = {each.name: each for each in LISTED}
         self.board.vms_revision = 1
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             self.take_shard(str(shard), 1, None)
         self.sync = PeerSync(
             reactor=SimpleNamespace(now=lambda: 0.0),
@@ -124,7 +124,7 @@
 
 def version_list(comparer: Comparer) -> list[int]:
     """Return the revision of the list, then all versions of shards."""
-    versions = versions_of(comparer.board)
+    versions = fact_versions(comparer.board)
     return [versions.vms_revision, *versions.shards]
 
 
@@ -157,12 +157,12 @@
 
 @when("a neighbour that knows no digest compares with the first")
 def when_earlier(context: Any) -> None:
-    message = envelope()
+    message = new_envelope()
     message.id = 1
     heartbeat = message.init("heartbeat")
     heartbeat.vm = "vm-2"
     heartbeat.vmsRevision = 1
-    heartbeat.shards = [1] * SHARDS
+    heartbeat.shards = [1] * SHARD_COUNT
     answers: list[Any] = []
     peers = context.second.sync._peers
     peers.ask("vm-1", message, 1.0, answers.append)
@@ -189,4 +189,4 @@
 
 @then("the answer tells all versions")
 def then_all(context: Any) -> None:
-    assert list(context.answer.shards) == [1] * SHARDS
+    assert list(context.answer.shards) == [1] * SHARD_COUNT
--- a/features/steps/configuration_properties.py
+++ b/features/steps/configuration_properties.py
@@ -44,8 +44,7 @@
 
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import Vm
-from bamboospring.facts import Facts
-from bamboospring.group_sync import needs_group
+from bamboospring.group_sync import vms_needing_group
 from bamboospring.membership import Membership
 from bamboospring.peers import PeerLost
 from bamboospring.peers import schema
@@ -58,6 +57,7 @@
 from bamboospring import rendezvous
 from bamboospring.rendezvous import Placement
 from bamboospring.settings import Timing
+from bamboospring.shared_facts import SharedFacts
 
 __all__ = ["check_spread", "converged_runs"]
 
@@ -289,7 +289,7 @@
         self.highest: dict[str, int] = {}
         self._root = Component()
         self.placement = Placement()
-        self.facts = Facts(
+        self.facts = SharedFacts(
             reactor=self.reactor,  # type: ignore[arg-type]
             board=self.board,
             placement=self.placement,
@@ -415,7 +415,7 @@
             found = process.versions()
             for (kind, item), (version, _) in self.objects.items():
                 label = f"{kind}/{item}"
-                needing = needs_group(process.placement, item)
+                needing = vms_needing_group(process.placement, item)
                 if kind == "table" or name in needing:
                     assert found.get(label) == version, (name, label, found)
             assert process.board.group_names == set(GROUPS), name
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -22,7 +22,7 @@
 import editor_properties
 
 from bamboospring.blackboard import Vm
-from bamboospring.rendezvous import choose_watchers
+from bamboospring.rendezvous import choose_platform_watchers
 from bamboospring.rendezvous import shard_of
 from bamboospring.table_editor import Verdict
 from bamboospring.testing.caller import Caller
@@ -367,7 +367,7 @@
         )
         for vm in fleet.vms.values()
     ]
-    return [vm.name for vm in choose_watchers(vms)]
+    return [vm.name for vm in choose_platform_watchers(vms)]
 
 
 def others(context: Any) -> list[str]:
--- a/features/steps/group_records_steps.py
+++ b/features/steps/group_records_steps.py
@@ -13,7 +13,7 @@
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import Vm
 from bamboospring.group_sync import GroupSync
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.rendezvous import Placement
 
 GROUP = "ledger"
@@ -59,7 +59,7 @@
 @when("a peer sends it the record of a group")
 def when_sent(context: Any) -> None:
     fact = {"name": GROUP, "version": 1, "value": RECORD}
-    message = envelope()
+    message = new_envelope()
     message.id = 0
     body = orjson.dumps({"facts": [fact]})
     message.init("groupFact").record = body
--- a/features/steps/lease_machine.py
+++ b/features/steps/lease_machine.py
@@ -29,8 +29,8 @@
 from bamboospring.lease import LeaseKeeper
 from bamboospring.lease import LeaseTiming
 from bamboospring.lease import LeaseValue
+from bamboospring.lease import ObservedLease
 from bamboospring.lease import ReadLease
-from bamboospring.lease import SeenLease
 from bamboospring.lease import WriteLease
 from bamboospring.store_version import era_of
 from bamboospring.store_version import revision_of
@@ -63,10 +63,10 @@
         self.states.append(action.value)
         return True
 
-    def seen(self) -> SeenLease:
+    def seen(self) -> ObservedLease:
         version = version_of(era=self.era, revision=self.revision)
-        return SeenLease(
-            version=version, value=self.states[-1], missing_in=self.era
+        return ObservedLease(
+            version=version, value=self.states[-1], missing_in_era=self.era
         )
 
     def come_back(self, writes: int) -> None:
@@ -86,7 +86,7 @@
     answered: bool = False
     era: int = 0
     done: bool = False
-    seen: SeenLease | None = None
+    seen: ObservedLease | None = None
 
 
 class SimVm:
@@ -147,13 +147,13 @@
         keeper, now = call.vm.keeper, self.now * call.vm.rate
         seen, action = call.seen, call.action
         if seen is None or call.done and self._of_another_era(call):
-            keeper.unanswered(call.sent_at, now, action)
+            keeper.on_no_answer(call.sent_at, now, action)
         elif call.done and isinstance(action, WriteLease):
-            keeper.stored(call.sent_at, now, action, seen.version)
+            keeper.on_stored(call.sent_at, now, action, seen.version)
         elif isinstance(action, WriteLease):
-            keeper.conflicted(call.sent_at, now, seen)
+            keeper.on_conflict(call.sent_at, now, seen)
         else:
-            keeper.read(call.sent_at, now, seen)
+            keeper.on_read(call.sent_at, now, seen)
 
     def _of_another_era(self, call: Call) -> bool:
         """Tell whether the platform judged a condition of before its return.
@@ -304,8 +304,8 @@
     return keeper._seen_at + (value.duration if value.vm else 0.0)
 
 
-_STORED = LeaseKeeper.stored
-_UNANSWERED = LeaseKeeper.unanswered
+_STORED = LeaseKeeper.on_stored
+_UNANSWERED = LeaseKeeper.on_no_answer
 
 MUTATIONS: dict[str, tuple[str, Callable[..., Any]]] = {
     "ignore_lease_margin": (
--- a/features/steps/membership_properties.py
+++ b/features/steps/membership_properties.py
@@ -25,14 +25,14 @@
 
 from bamboospring.blackboard import Liveness
 from bamboospring.blackboard import Vm
+from bamboospring.drain import drain_phase
+from bamboospring.drain import DrainPhase
 from bamboospring.drain import DrainPlan
-from bamboospring.drain import judge_phase
-from bamboospring.drain import Phase
 from bamboospring.rendezvous import choose_holders
 from bamboospring.rendezvous import choose_neighbours
 from bamboospring.rendezvous import choose_possible_holders
 from bamboospring.rendezvous import Placement
-from bamboospring.rendezvous import rank
+from bamboospring.rendezvous import rank_vms
 
 __all__ = [
     "check_asked",
@@ -116,8 +116,8 @@
         gone = vms[place % size]
         left = [vm for vm in vms if vm != gone]
         for group in GROUPS:
-            before = [vm for vm in rank(group, vms) if vm != gone]
-            assert rank(group, left) == before
+            before = [vm for vm in rank_vms(group, vms) if vm != gone]
+            assert rank_vms(group, left) == before
             kept = set(choose_holders(group, vms, 3)) - {gone}
             assert kept <= set(choose_holders(group, left, 3))
 
@@ -284,18 +284,21 @@
         connections: int,
     ) -> None:
         plan = DrainPlan(
-            begun_at=0.0, notice=notice, patience=patience, limit=limit
+            started_at=0.0,
+            notice_period=notice,
+            idle_grace=patience,
+            max_duration=limit,
         )
-        phase = judge_phase(
+        phase = drain_phase(
             plan, now=elapsed, work=work, connections=connections
         )
         if elapsed >= limit:
-            assert phase is Phase.FAREWELL
+            assert phase is DrainPhase.FAREWELL
         elif elapsed < notice:
-            assert phase is Phase.NOTICE
+            assert phase is DrainPhase.NOTICE
         elif work or (connections and elapsed < notice + patience):
-            assert phase is Phase.FINISHING
+            assert phase is DrainPhase.FINISHING
         else:
-            assert phase is Phase.FAREWELL
+            assert phase is DrainPhase.FAREWELL
 
     check()
--- a/features/steps/names_known_steps.py
+++ b/features/steps/names_known_steps.py
@@ -13,7 +13,7 @@
 
 from bamboospring.blackboard import Blackboard
 from bamboospring.group_sync import GroupSync
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.rendezvous import choose_holders
 from bamboospring.rendezvous import Placement
 
@@ -56,7 +56,7 @@
 def answer(context: Any, *, complete: bool, names: list[str]) -> None:
     context.sync.ask()
     body = {"complete": complete, "facts": [], "names": names}
-    message = envelope()
+    message = new_envelope()
     message.init("groupFact").record = orjson.dumps(body)
     context.asked.pop()(message)
 
--- a/features/steps/names_steps.py
+++ b/features/steps/names_steps.py
@@ -28,7 +28,7 @@
 from bamboospring.blackboard import Vm
 from bamboospring.rendezvous import choose_possible_holders
 from bamboospring.rendezvous import Placement
-from bamboospring.rendezvous import rank
+from bamboospring.rendezvous import rank_vms
 from bamboospring.shares import GroupShares
 from bamboospring.shares import VmListMonitor
 
@@ -58,7 +58,7 @@
 
 
 def best_three(listed: frozenset[str]) -> frozenset[str]:
-    return frozenset(vm.name for vm in rank(GROUP, VMS.values())[:3])
+    return frozenset(vm.name for vm in rank_vms(GROUP, VMS.values())[:3])
 
 
 class NamesFleet(shares_steps.Fleet):
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -220,7 +220,7 @@
         vm_list_interval=1.0,
         wait_ms=1000,
     )
-    store.take_vms(7, listed(3))
+    store.apply_vms(7, listed(3))
 
 
 def answer_vms(context: Any, revision: int, vms: Any) -> None:
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -28,7 +28,7 @@
 from bamboospring.membership import Membership
 from bamboospring.operator_client import OperatorClient
 from bamboospring.operator_client import Unreachable
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.rendezvous import Placement
 from bamboospring.rendezvous import shard_of
 from bamboospring.testing.caller import Caller
@@ -500,7 +500,7 @@
         if message.which() != "groupFact":
             return
         body = {"names": self.names, "complete": True}
-        answer = envelope()
+        answer = new_envelope()
         answer.init("groupFact").record = orjson.dumps(body)
         answered(answer)
 
--- a/features/steps/promotion_faults.py
+++ b/features/steps/promotion_faults.py
@@ -9,24 +9,24 @@
 
 from bamboospring.blackboard import Group
 from bamboospring import commit
-from bamboospring import promotion
-from bamboospring.promotion import Change
-from bamboospring.promotion import GroupObject
-from bamboospring.promotion import OrderKind
-from bamboospring.promotion import Phase
+from bamboospring import primary_change
+from bamboospring.primary_change import ChangePhase
+from bamboospring.primary_change import GroupObject
+from bamboospring.primary_change import OrderKind
+from bamboospring.primary_change import PrimaryChange
 from bamboospring.statements import Position
 from bamboospring.target_api import ProbeResult
 
 __all__ = ["MUTATIONS", "mutated"]
 
 
-def _skip_fence(change: Change, now: float) -> list[Any]:
+def _skip_fence(change: PrimaryChange, now: float) -> list[Any]:
     """Promote by what was probed; stop only the one that is promoted."""
     assert change._update is not None
     change.term = change._update.value["term"]
-    change._enter(Phase.FENCE, now)
+    change._enter(ChangePhase.FENCE, now)
     best = max(
-        change._probes, key=lambda n: promotion.log_end(change._probes[n])
+        change._probes, key=lambda n: primary_change.log_end(change._probes[n])
     )
     change._majority = lambda: 1  # type: ignore[method-assign]
     target = change._targets[best]
@@ -34,12 +34,16 @@
 
 
 def _stopped_minority(
-    change: Change, name: str, accepted: bool, probe: ProbeResult, now: float
+    change: PrimaryChange,
+    name: str,
+    accepted: bool,
+    probe: ProbeResult,
+    now: float,
 ) -> list[Any]:
-    if not accepted or change.phase is not Phase.FENCE:
+    if not accepted or change.phase is not ChangePhase.FENCE:
         return []
     change._fenced[name] = probe
-    with mock.patch.object(Change, "_majority", lambda change: 1):
+    with mock.patch.object(PrimaryChange, "_majority", lambda change: 1):
         return change._promote(now)
 
 
@@ -49,23 +53,25 @@
     return next(iter(fenced))
 
 
-def _trust_update(change: Change, now: float) -> list[Any]:
+def _trust_update(change: PrimaryChange, now: float) -> list[Any]:
     assert change._update is not None
-    return change.updated(change._update.if_version + 1, now)
+    return change.on_updated(change._update.if_version + 1, now)
 
 
-def _promote_another(change: Change, now: float) -> list[Any]:
-    if change.phase is Phase.PROMOTE and now - change._phase_at > 0.25:
+def _promote_another(change: PrimaryChange, now: float) -> list[Any]:
+    if change.phase is ChangePhase.PROMOTE and now - change._phase_at > 0.25:
         others = [n for n in change._fenced if n != change.primary]
         if others:
             change.primary = others[0]
-            change._enter(Phase.PROMOTE, now)
+            change._enter(ChangePhase.PROMOTE, now)
             target = change._targets[others[0]]
             return [change._order(OrderKind.PROMOTE, target, now, change.term)]
     return _TICK(change, now)
 
 
-def _ignore_nonce(change: Change, found: GroupObject, now: float) -> list[Any]:
+def _ignore_nonce(
+    change: PrimaryChange, found: GroupObject, now: float
+) -> list[Any]:
     value = {**found.value, "steward": change.nonce}
     same = GroupObject(name=found.name, version=found.version, value=value)
     return _RESOLVE(change, same, now)
@@ -78,20 +84,28 @@
     )
 
 
-_TICK = Change.tick
-_RESOLVE = Change._resolve
+_TICK = PrimaryChange.tick
+_RESOLVE = PrimaryChange._resolve
 
 MUTATIONS: dict[str, tuple[Any, str, Any]] = {
-    "skip_fence": (Change, "_won", _skip_fence),
-    "promote_with_minority_fenced": (Change, "_stopped", _stopped_minority),
+    "skip_fence": (PrimaryChange, "_won", _skip_fence),
+    "promote_with_minority_fenced": (
+        PrimaryChange,
+        "_stopped",
+        _stopped_minority,
+    ),
     "promote_first_that_answers": (
         promotion,
         "choose_primary",
         _choose_first,
     ),
-    "trust_unanswered_update": (Change, "unanswered", _trust_update),
-    "promote_another_at_same_term": (Change, "tick", _promote_another),
-    "take_other_stewards_term_for_own": (Change, "_resolve", _ignore_nonce),
+    "trust_unanswered_update": (PrimaryChange, "unanswered", _trust_update),
+    "promote_another_at_same_term": (PrimaryChange, "tick", _promote_another),
+    "take_other_stewards_term_for_own": (
+        PrimaryChange,
+        "_resolve",
+        _ignore_nonce,
+    ),
     "acknowledge_without_majority": (
         commit,
         "held_by_majority",
--- a/features/steps/promotion_world.py
+++ b/features/steps/promotion_world.py
@@ -15,15 +15,15 @@
 from bamboospring.blackboard import Role
 from bamboospring.blackboard import TableRow
 from bamboospring.blackboard import Target
+from bamboospring.primary_change import ChangePhase
+from bamboospring.primary_change import GroupObject
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import OrderKind
+from bamboospring.primary_change import PrimaryChange
+from bamboospring.primary_change import ReadGroup
+from bamboospring.primary_change import UpdateGroup
 from bamboospring.primary_policy import choose_plan
-from bamboospring.primary_policy import GroupView
-from bamboospring.promotion import Change
-from bamboospring.promotion import GroupObject
-from bamboospring.promotion import Order
-from bamboospring.promotion import OrderKind
-from bamboospring.promotion import Phase
-from bamboospring.promotion import ReadGroup
-from bamboospring.promotion import UpdateGroup
+from bamboospring.primary_policy import PolicyInput
 from bamboospring.records import decode_group
 from bamboospring.statements import Position
 from bamboospring.target_api import ProbeResult
@@ -197,7 +197,7 @@
         self.paused = False
         self.runs = 0
         self.counter = 0
-        self.change: Change | None = None
+        self.change: PrimaryChange | None = None
 
     def restart(self) -> None:
         """Forget everything, as a process that was started anew."""
@@ -210,7 +210,7 @@
     def probes(self) -> bool:
         """Tell whether a change has begun and not yet asked for a term."""
         change = self.change
-        return change is not None and change.phase is Phase.PROBE
+        return change is not None and change.phase is ChangePhase.PROBE
 
     def tick(self) -> None:
         if not self.paused and self.change is not None:
@@ -223,7 +223,7 @@
         version, value = self.world.objects["group"]
         record = decode_group("g", version, value)
         assert record is not None
-        view = GroupView(
+        view = PolicyInput(
             record=record,
             row=TableRow(group="g"),
             probes={},
@@ -235,12 +235,12 @@
             return
         self.counter += 1
         nonce = f"{self.vm}-{self.runs}/{self.counter}"
-        self.change = Change(
+        self.change = PrimaryChange(
             group="g", targets=TARGETS, plan=plan, nonce=nonce
         )
         self._apply(self.change, self.change.begin(self.now()))
 
-    def _apply(self, change: Change, actions: list[Any]) -> None:
+    def _apply(self, change: PrimaryChange, actions: list[Any]) -> None:
         if self.change is not change:
             return
         for action in actions:
@@ -251,7 +251,7 @@
                     self._call_group(change, None)
                 case UpdateGroup():
                     self._call_group(change, action)
-        if change.over and self.change is change:
+        if change.is_over and self.change is change:
             self.change = None
 
     def _exchange(
@@ -286,7 +286,7 @@
 
         self.world.messages.append(Message(deliver=arrive, give_up=give_up))
 
-    def _send_order(self, change: Change, order: Order) -> None:
+    def _send_order(self, change: PrimaryChange, order: Order) -> None:
         target = self.world.targets[order.target.name]
 
         def effect() -> tuple[bool, ProbeResult] | None:
@@ -296,15 +296,17 @@
 
         def answer(result: tuple[bool, ProbeResult] | None) -> None:
             if result is None:
-                self._apply(change, change.lost(order, self.now()))
+                self._apply(change, change.on_no_answer(order, self.now()))
                 return
             done, probe = result
-            found = change.answered(order, done, probe, self.now())
+            found = change.on_answer(order, done, probe, self.now())
             self._apply(change, found)
 
         self._exchange(effect, answer, lambda: answer(None))
 
-    def _call_group(self, change: Change, update: UpdateGroup | None) -> None:
+    def _call_group(
+        self, change: PrimaryChange, update: UpdateGroup | None
+    ) -> None:
         def effect() -> tuple[bool, int, Any]:
             done = update is not None and self.world.put(
                 "group", update.if_version, update.value
@@ -316,18 +318,18 @@
             now = self.now()
             found = GroupObject(name="g", version=version, value=value)
             if done:
-                self._apply(change, change.updated(version, now))
+                self._apply(change, change.on_updated(version, now))
             elif update is not None:
-                self._apply(change, change.conflicted(found, now))
+                self._apply(change, change.on_conflict(found, now))
             else:
-                self._apply(change, change.read(found, now))
+                self._apply(change, change.on_object_read(found, now))
 
         def lost() -> None:
             now = self.now()
             if update is not None:
-                self._apply(change, change.unanswered(now))
+                self._apply(change, change.on_update_unanswered(now))
             else:
-                self._apply(change, change.read(None, now))
+                self._apply(change, change.on_object_read(None, now))
 
         self._exchange(effect, answer, lost)
 
--- a/features/steps/session_properties.py
+++ b/features/steps/session_properties.py
@@ -248,7 +248,7 @@
     assert choice.min_index == required_index(record, need.token)
     assert choice.term == state.term
     assert choice.target.name not in need.excluded
-    assert NOW - state.seen_at <= MAX_REPORT_AGE
+    assert NOW - state.last_response_at <= MAX_REPORT_AGE
     if need.fresh_since is not None:
         assert majority_confirmed_at(group) >= need.fresh_since
     if choice.replica:
@@ -258,7 +258,7 @@
         assert not state.leaving
         assert choice.target.name not in row.leaving_targets
         if need.fresh_since is not None:
-            assert state.fresh_at >= need.fresh_since
+            assert state.caught_up_at >= need.fresh_since
         if row.read_weights:
             assert row.read_weights.get(choice.target.site, 0) > 0
     else:
@@ -281,13 +281,13 @@
         and state.last_term == record.term
         and state.applied >= index
         and not state.leaving
-        and NOW - state.seen_at <= MAX_REPORT_AGE
+        and NOW - state.last_response_at <= MAX_REPORT_AGE
         and target.name not in need.excluded
         and target.name not in row.leaving_targets
         and (not row.read_weights or row.read_weights.get(target.site, 0))
         and (
             need.fresh_since is None
-            or min(state.fresh_at, majority_confirmed_at(group))
+            or min(state.caught_up_at, majority_confirmed_at(group))
             >= need.fresh_since
         )
     ]
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -14,7 +14,7 @@
 from bamboospring.object_store import Found
 from bamboospring.object_store import Stored
 from bamboospring.object_store import Unavailable
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.sessions.model import ListedTarget
 from bamboospring.sessions.model import PendingChange
 from bamboospring.sessions.model import PrimaryRecord
@@ -184,7 +184,7 @@
         self, address: str, message: Any, timeout: float, on_answer: Any
     ) -> None:
         self.told += 1
-        answer = envelope()
+        answer = new_envelope()
         answer.init("recordSeen").version = 7
         on_answer(answer)
 
--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -16,31 +16,31 @@
 from bamboospring.blackboard import Role
 from bamboospring.blackboard import Target
 from bamboospring.blackboard import Vm
-from bamboospring.promotion import Cause
-from bamboospring.promotion import Change
-from bamboospring.promotion import GroupObject
-from bamboospring.promotion import Order
-from bamboospring.promotion import Phase
-from bamboospring.promotion import Plan
-from bamboospring.promotion import UpdateGroup
+from bamboospring.primary_change import ChangeCause
+from bamboospring.primary_change import ChangePhase
+from bamboospring.primary_change import ChangePlan
+from bamboospring.primary_change import GroupObject
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import PrimaryChange
+from bamboospring.primary_change import UpdateGroup
 from bamboospring.rendezvous import Placement
-from bamboospring.steward_care import Care
+from bamboospring.steward_state import StewardGroupState
 from bamboospring.suspicion import AwakeClock
-from bamboospring.suspicion import Report
+from bamboospring.suspicion import SuspicionReport
 from bamboospring.suspicion import Suspicions
+from bamboospring.suspicion import TargetVerdict
 from bamboospring.suspicion import TargetWatch
-from bamboospring.suspicion import Verdict
 from bamboospring.suspicion import WatchTiming
+from bamboospring.suspicion_exchange import SuspicionExchange
 from bamboospring.target_api import ProbeResult
-from bamboospring.witnesses import Witnesses
 
 TIMING = WatchTiming()
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
-def report(vm: str, zone: str) -> Report:
+def report(vm: str, zone: str) -> SuspicionReport:
     """Return a suspicion of m1 at term 1, at second 10."""
-    return Report(
+    return SuspicionReport(
         target="m1",
         term=1,
         vm=vm,
@@ -142,8 +142,8 @@
         Target(name=n, address=n, availability_zone=n, site="s")
         for n in ("m1", "m2", "m3")
     )
-    plan = Plan(cause=Cause.PRIMARY_FAILED, term=1, primary="m1")
-    change = Change(group="g", targets=targets, plan=plan, nonce="n")
+    plan = ChangePlan(cause=ChangeCause.PRIMARY_FAILED, term=1, primary="m1")
+    change = PrimaryChange(group="g", targets=targets, plan=plan, nonce="n")
     value = {
         "targets": [
             {
@@ -161,11 +161,11 @@
     context.actions = change.begin(0.0)
     orders = [a for a in context.actions if isinstance(a, Order)]
     found = GroupObject(name="g", version=1, value=value)
-    context.actions += change.read(found, 0.01)
+    context.actions += change.on_object_read(found, 0.01)
     # The two others answer first; the change must wait for the primary.
     for order in sorted(orders, key=lambda o: o.target.name, reverse=True):
         probe = make_probe(order.target.name)
-        context.actions += change.answered(order, True, probe, 0.02)
+        context.actions += change.on_answer(order, True, probe, 0.02)
     context.change = change
 
 
@@ -185,7 +185,7 @@
 
 @then("the change ends before the term is won")
 def ends(context: Any) -> None:
-    assert context.change.phase is Phase.ENDED, context.change.phase
+    assert context.change.phase is ChangePhase.ENDED, context.change.phase
     assert not any(isinstance(a, UpdateGroup) for a in context.actions)
 
 
@@ -194,13 +194,13 @@
 
     def __init__(self, vm: Vm, vms: tuple[Vm, ...], network: Any) -> None:
         self.reaches = True
-        self.care = Care()
+        self.care = StewardGroupState()
         placement = Placement()
         placement.set_vms(vms)
         peers = MemoryPeers(network, [])
         network[vm.address] = peers
         self.board = Blackboard(me=vm)
-        self.witnesses = Witnesses(
+        self.witnesses = SuspicionExchange(
             reactor=FixedTime(),  # type: ignore[arg-type]
             board=self.board,
             placement=placement,
@@ -251,7 +251,7 @@
 @when("only the steward does not reach the primary")
 def only_steward_silent(context: Any) -> None:
     context.steward.reaches = False
-    verdict = Verdict(suspected=True, silent=1.0)
+    verdict = TargetVerdict(suspected=True, silent=1.0)
     context.steward.care.suspicions.take(report("vm-0", "zone-a"))
     context.steward.witnesses.report("g", "m1", 1, verdict)
 
--- a/features/steps/target_polls_steps.py
+++ b/features/steps/target_polls_steps.py
@@ -18,13 +18,13 @@
 from bamboospring.blackboard import Vm
 from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpLost
-from bamboospring.promotion import Order
-from bamboospring.promotion import OrderKind
+from bamboospring.primary_change import Order
+from bamboospring.primary_change import OrderKind
 from bamboospring.rendezvous import Placement
 from bamboospring.target_api import decode_probe
 from bamboospring import target_orders
+from bamboospring.target_watcher import TargetWatcher
 from bamboospring import watcher as watcher_module
-from bamboospring.watcher import Watcher
 
 WAIT_MS = 150
 STATE = "00ff00ff00ff00ff"
@@ -149,7 +149,7 @@
     with mock.patch.object(
         watcher_module, "HttpClient", lambda **_: context.client
     ):
-        context.watcher = Watcher(
+        context.watcher = TargetWatcher(
             reactor=reactor, board=board, placement=placement
         )
         context.watcher._follow("ledger")
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -26,8 +26,8 @@
 from bamboospring.lease import LeaseKeeper
 from bamboospring.lease import LeaseTiming
 from bamboospring.lease import LeaseValue
+from bamboospring.lease import ObservedLease
 from bamboospring.lease import ReadLease
-from bamboospring.lease import SeenLease
 from bamboospring.lease import WriteLease
 from bamboospring.platform.store import StoreDialect
 from bamboospring import platform_client
@@ -379,12 +379,17 @@
 
 @given("a VM that saw the lease at version 4 of another one at {at:g}")
 def given_lease(context: Any, at: float) -> None:
-    timing = LeaseTiming(duration=1.6, renew=0.4, margin=0.25, stagger=0.04)
+    timing = LeaseTiming(
+        duration=1.6,
+        renew_interval=0.4,
+        safety_margin=0.25,
+        stagger_delay=0.04,
+    )
     context.keeper = LeaseKeeper(
         bucket=0, vm="me", nonce="n", timing=timing, address=""
     )
     context.keeper.step(at, 0)
-    context.keeper.read(at, at, _held(4))
+    context.keeper.on_read(at, at, _held(4))
 
 
 @when("it notices version {version:d} by the way at {at:g}")
@@ -406,9 +411,9 @@
     assert at - 0.01 <= now <= at + 0.2, now
 
 
-def _held(version: int) -> SeenLease:
+def _held(version: int) -> ObservedLease:
     value = LeaseValue(vm="other", nonce=f"o/{version}", duration=1.6)
-    return SeenLease(version=version, value=value)
+    return ObservedLease(version=version, value=value)
 
 
 MOST = 1.0
@@ -495,7 +500,9 @@
             reactor=clock,
             address="h:1",
             timing=CallTiming(
-                timeout=1.0, least_timeout=0.25, large=frozenset({"catalog"})
+                timeout=1.0,
+                min_timeout=0.25,
+                large_purposes=frozenset({"catalog"}),
             ),
             dialect=StoreDialect(),
         )
--- a/features/steps/wire_steps.py
+++ b/features/steps/wire_steps.py
@@ -31,7 +31,7 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.peers import envelope
+from bamboospring.peers import new_envelope
 from bamboospring.peers import schema
 from bamboospring.rendezvous import Placement
 from bamboospring.retry_budget import RetryBudget
@@ -124,10 +124,10 @@
     @fixed
     @given(head=heads)
     def check(head: bytes) -> None:
-        message = envelope()
+        message = new_envelope()
         message.init("statement").head = head
         assert read(message) is None
-        answer = envelope()
+        answer = new_envelope()
         answer.init("answer").head = head
         try:
             outcome = decode_outcome(answer)
@@ -173,7 +173,7 @@
     context.dropped = False
 
     def ask(_address: str, _message: Any, _left: float, answered: Any) -> None:
-        message = envelope()
+        message = new_envelope()
         message.init("answer").head = b"[0]"
         try:
             answered(message)
@@ -233,7 +233,7 @@
         body = chance.randbytes(size)
         send_frame(host, int(port), struct.pack("<I", size) + body)
     send_frame(host, int(port), struct.pack("<I", 2**32 - 1))
-    broken = envelope()
+    broken = new_envelope()
     broken.init("statement").head = b"[0]"
     frame = broken.to_bytes()
     send_frame(host, int(port), struct.pack("<I", len(frame)) + frame)
