--- a/bamboospring/demo.py
+++ b/bamboospring/demo.py
@@ -23,7 +23,7 @@
 from bamboospring.testing.fleet import OPERATOR_TOKEN
 from bamboospring.testing.fleet import wait_until
 from bamboospring.testing.job_runner import JobRunner
-from bamboospring.testing.job_runner import Tally
+from bamboospring.testing.job_runner import RequestStats
 
 __all__ = ["Finding", "check_books", "run", "run_jobs"]
 
@@ -67,7 +67,7 @@
         print(f"no scenario {scenario!r}; there are: {known}")
         return USAGE_ERROR
     _say(as_json, f"starting {_sizes(chosen)}")
-    with Fleet(estate=chosen.estate) as fleet:
+    with Fleet(topology=chosen.estate) as fleet:
         fleet.wait_serving()
         _say(as_json, f"{callers} callers work for {seconds:g} s")
         tally = run_jobs(fleet, chosen, seconds=seconds, callers=callers)
@@ -107,14 +107,16 @@
     seconds: float,
     callers: int,
     first_job: int = 0,
-) -> Tally:
+) -> RequestStats:
     """Let callers run jobs for `seconds`, and return their joint tally."""
     start = time.monotonic()
     numbers = itertools.count(first_job)
     stop_at = start + seconds + FINISH_SECONDS
     runners = [
         JobRunner(
-            caller=Caller(entries=fleet.entries(), name=f"branch-{i}", at=i),
+            caller=Caller(
+                entries=fleet.entries(), name=f"branch-{i}", entry_index=i
+            ),
             scenario=scenario,
             stop_at=stop_at,
         )
@@ -138,14 +140,14 @@
         thread.join()
     if faults:
         raise faults[0]
-    total = Tally()
+    total = RequestStats()
     for runner in runners:
-        total.add(runner.tally)
+        total.add(runner.stats)
     return total
 
 
 def check_books(
-    fleet: Fleet, scenario: Scenario, tally: Tally
+    fleet: Fleet, scenario: Scenario, tally: RequestStats
 ) -> list[Finding]:
     """Check the books at each target, once it has caught up."""
     findings = []
@@ -203,20 +205,20 @@
 
 
 def _report(
-    scenario: Scenario, tally: Tally, findings: list[Finding]
+    scenario: Scenario, tally: RequestStats, findings: list[Finding]
 ) -> dict[str, Any]:
     good = (
         all(finding.good for finding in findings)
         and tally.stale_reads == 0
         and tally.wrong_answers == 0
-        and tally.steps_open == 0
+        and tally.steps_unfinished == 0
         and tally.steps_acknowledged > 0
     )
     return {
         "scenario": scenario.estate.name,
         "jobs": tally.jobs,
         "steps_acknowledged": tally.steps_acknowledged,
-        "steps_open": tally.steps_open,
+        "steps_open": tally.steps_unfinished,
         "stale_reads": tally.stale_reads,
         "wrong_answers": tally.wrong_answers,
         "replays": tally.replays,
--- a/bamboospring/platform/__main__.py
+++ b/bamboospring/platform/__main__.py
@@ -8,7 +8,7 @@
 from bamboospring.errors import BamboospringError
 from bamboospring.errors import ListenError
 from bamboospring import logs
-from bamboospring.platform.outside import make_outside
+from bamboospring.platform.adapters import make_adapters
 from bamboospring.sessions.node import SessionNode
 from bamboospring.sessions.settings import load
 
@@ -34,7 +34,7 @@
     cfg = load(path)
     logs.configure_node(level=cfg.logs.level, vm=cfg.vm)
     try:
-        node = SessionNode(cfg, make_outside(), path)
+        node = SessionNode(cfg, make_adapters(), path)
     except OSError as exc:
         raise ListenError(f"cannot listen: {exc}") from exc
     node.rotation.install()
--- a/bamboospring/platform/outside.py
+++ b/bamboospring/platform/adapters.py
@@ -3,26 +3,26 @@
 from __future__ import annotations
 
 from bamboospring.blackboard import Target
-from bamboospring.platform.caller_lines import CallerServer
-from bamboospring.platform.entries import CATALOG_KIND
-from bamboospring.platform.entries import CATALOG_NAME
-from bamboospring.platform.entries import read_catalog
-from bamboospring.platform.entries import read_target
-from bamboospring.platform.entries import TARGET_KIND
-from bamboospring.platform.orders import Promotions
-from bamboospring.platform.store import StoreDialect
-from bamboospring.platform.target_lines import LineDialer
+from bamboospring.platform.caller_server import CallerServer
+from bamboospring.platform.promotion_client import PromotionClient
+from bamboospring.platform.store_dialect import StoreDialect
+from bamboospring.platform.store_objects import CATALOG_KIND
+from bamboospring.platform.store_objects import CATALOG_NAME
+from bamboospring.platform.store_objects import read_catalog
+from bamboospring.platform.store_objects import read_target
+from bamboospring.platform.store_objects import TARGET_KIND
+from bamboospring.platform.target_dialer import LineDialer
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.platform_adapters import OpeningCheck
 from bamboospring.sessions.platform_adapters import PlatformAdapters
 from bamboospring.sessions.platform_adapters import SessionFactory
 
-__all__ = ["make_outside"]
+__all__ = ["make_adapters"]
 
 READINESS_PATH = "/api/readiness"
 
 
-def make_outside() -> PlatformAdapters:
+def make_adapters() -> PlatformAdapters:
     """Return the adapters."""
     return PlatformAdapters(
         dialect=StoreDialect(),
@@ -42,8 +42,8 @@
     return LineDialer(reactor=reactor, target=target, service=group)
 
 
-def _make_orders(reactor: Reactor, address: str) -> Promotions:
-    return Promotions(reactor=reactor, address=address)
+def _make_orders(reactor: Reactor, address: str) -> PromotionClient:
+    return PromotionClient(reactor=reactor, address=address)
 
 
 def _make_listener(
--- a/bamboospring/platform/caller_lines.py
+++ b/bamboospring/platform/caller_server.py
@@ -10,11 +10,11 @@
 from bamboospring.outcomes import Overloaded
 from bamboospring.outcomes import Reason
 from bamboospring.outcomes import Unknown
-from bamboospring.platform.lines import key_digest
-from bamboospring.platform.lines import LineBuffer
-from bamboospring.platform.lines import LineTooLong
-from bamboospring.platform.lines import one_line
-from bamboospring.platform.lines import position_text
+from bamboospring.platform.line_protocol import format_position
+from bamboospring.platform.line_protocol import key_digest
+from bamboospring.platform.line_protocol import LineDecoder
+from bamboospring.platform.line_protocol import LineTooLong
+from bamboospring.platform.line_protocol import replace_line_breaks
 from bamboospring.reactor import Listener
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Stream
@@ -39,7 +39,7 @@
 from bamboospring.sessions.session_opening import OpeningCheck
 from bamboospring.sessions.session_opening import OpeningPending
 
-__all__ = ["CallerServer", "read_statement"]
+__all__ = ["CallerServer", "parse_statement"]
 
 # Seconds in which a connection must have named its database.
 OPENING_TIMEOUT = 10.0
@@ -69,7 +69,7 @@
 UNKNOWN_CODES = {Reason.DEADLINE: "TIMEOUT"}
 
 
-def read_statement(text: str) -> SessionStatement:
+def parse_statement(text: str) -> SessionStatement:
     """Read the text of a query."""
     word, _, rest = text.partition(" ")
     match word:
@@ -109,11 +109,11 @@
     return Prepare(name=name, shape=Shape(writes=mode == "WRITE", text=text))
 
 
-def answer_lines(answer: SessionAnswer) -> bytes:
+def encode_answer(answer: SessionAnswer) -> bytes:
     """Return the bytes of an answer."""
     lines = _outcome_lines(answer.outcome)
     state = STATES[answer.state]
-    lines.append(f"READY {state} {position_text(answer.position)}\r\n")
+    lines.append(f"READY {state} {format_position(answer.position)}\r\n")
     return "\r\n".join(lines).encode("latin-1", "replace")
 
 
@@ -144,7 +144,7 @@
         parts.append(f"retry_after_ms={retry_after_ms}")
     message = getattr(outcome, "message", "")
     if message:
-        parts.append(one_line(message)[:200])
+        parts.append(replace_line_breaks(message)[:200])
     return " ".join(parts)
 
 
@@ -194,7 +194,7 @@
     def __init__(self, *, server: CallerServer, stream: Stream) -> None:
         self._server = server
         self._stream = stream
-        self._buffer = LineBuffer()
+        self._buffer = LineDecoder()
         self._paused = False
         self._held: list[str] | None = None
         self.session: Session | None = None
@@ -204,7 +204,7 @@
 
     def answer(self, answer: SessionAnswer) -> None:
         """Send the answer to the statement under way."""
-        self._stream.send(answer_lines(answer))
+        self._stream.send(encode_answer(answer))
         if self._paused and self.session and not self.session.is_backlog_full:
             self._paused = False
             self._stream.resume()
@@ -216,7 +216,7 @@
 
     def finish_refusal(self, state: SessionState) -> None:
         """Send the end of the answer that `dismiss` began."""
-        line = f"READY {STATES[state]} {position_text(None)}\r\n"
+        line = f"READY {STATES[state]} {format_position(None)}\r\n"
         self._stream.send(line.encode("latin-1", "replace"))
 
     def close(self) -> None:
@@ -253,7 +253,7 @@
             if not id:
                 self._refuse("MALFORMED", "a query needs an id and a text")
                 return
-            self.session.submit(id, read_statement(text))
+            self.session.submit(id, parse_statement(text))
         else:
             self._refuse("MALFORMED", f"unexpected message {word[:32]!r}")
 
@@ -300,7 +300,7 @@
 
         What follows could be anything, so nothing more is read.
         """
-        line = f"ERROR {code} {one_line(message)}\r\n"
+        line = f"ERROR {code} {replace_line_breaks(message)}\r\n"
         self._stream.send(line.encode("latin-1", "replace"))
         self._stream.close()
         logs.log_event("caller_cut", level=logs.Level.WARNING, reason=message)
--- a/bamboospring/platform/lines.py
+++ b/bamboospring/platform/line_protocol.py
@@ -12,17 +12,17 @@
 from bamboospring.statements import Position
 
 __all__ = [
-    "LineBuffer",
+    "LineDecoder",
     "LineTooLong",
-    "MAX_LINE",
+    "MAX_LINE_BYTES",
     "key_digest",
-    "one_line",
-    "position_text",
-    "read_position",
+    "replace_line_breaks",
+    "format_position",
+    "parse_position",
 ]
 
 # Bytes of the longest message on the wire, its end included.
-MAX_LINE = 1024 * 1024
+MAX_LINE_BYTES = 1024 * 1024
 END = b"\r\n"
 
 
@@ -30,7 +30,7 @@
     """A line goes on beyond what a message may hold."""
 
 
-class LineBuffer:
+class LineDecoder:
     """Cuts a stream of bytes into lines."""
 
     __slots__ = ("_rest",)
@@ -44,19 +44,19 @@
             data = self._rest + data
         *lines, self._rest = data.split(END)
         longest = max(map(len, lines), default=0)
-        if max(longest, len(self._rest)) > MAX_LINE:
+        if max(longest, len(self._rest)) > MAX_LINE_BYTES:
             raise LineTooLong()
         return [line.decode("latin-1") for line in lines]
 
 
-def position_text(position: Position | None) -> str:
+def format_position(position: Position | None) -> str:
     """Return a position as the wire has it."""
     if position is None:
         return "-"
     return f"{position.term}.{position.index}"
 
 
-def read_position(text: str) -> Position | None:
+def parse_position(text: str) -> Position | None:
     """Read a position; None where there is none."""
     term, dot, number = text.partition(".")
     if not dot or not (term.isdigit() and number.isdigit()):
@@ -64,7 +64,7 @@
     return Position(term=int(term), index=int(number))
 
 
-def one_line(text: str) -> str:
+def replace_line_breaks(text: str) -> str:
     """Return a text that stays within its line."""
     return text.replace("\r", " ").replace("\n", " ")
 
--- a/bamboospring/platform/orders.py
+++ b/bamboospring/platform/promotion_client.py
@@ -13,10 +13,10 @@
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.ports import PromotionResult
 
-__all__ = ["Promotions"]
+__all__ = ["PromotionClient"]
 
 
-class Promotions:
+class PromotionClient:
     """Orders of promotion, each on a connection of its own.
 
     A connection on which an order has no answer is reset: what is still on
--- a/bamboospring/platform/entries.py
+++ b/bamboospring/platform/store_objects.py
@@ -12,7 +12,7 @@
 from bamboospring.blackboard import Target
 from bamboospring import logs
 from bamboospring.object_store import Found
-from bamboospring.platform.lines import key_digest
+from bamboospring.platform.line_protocol import key_digest
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import Freshness
 from bamboospring.sessions.model import GroupLimits
--- a/bamboospring/platform/target_lines.py
+++ b/bamboospring/platform/target_dialer.py
@@ -7,10 +7,10 @@
 import hashlib
 
 from bamboospring.blackboard import Target
-from bamboospring.platform.lines import LineBuffer
-from bamboospring.platform.lines import LineTooLong
-from bamboospring.platform.lines import position_text
-from bamboospring.platform.lines import read_position
+from bamboospring.platform.line_protocol import format_position
+from bamboospring.platform.line_protocol import LineDecoder
+from bamboospring.platform.line_protocol import LineTooLong
+from bamboospring.platform.line_protocol import parse_position
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Stream
 from bamboospring.reactor import Timer
@@ -87,7 +87,7 @@
     def __init__(self, *, reactor: Reactor, stream: Stream) -> None:
         self._reactor = reactor
         self._stream = stream
-        self._buffer = LineBuffer()
+        self._buffer = LineDecoder()
         self._orders: Sequence[TargetOrder] = ()
         self._replies: list[TargetReply] = []
         self._reply = TargetReply()
@@ -109,16 +109,16 @@
         """Close it; what is under way is lost."""
         self._stream.abort()
 
-    def greet(
+    def open_session(
         self,
         target: Target,
         service: str,
         team: str,
         timeout: float,
-        on_done: Callable[[list[TargetReply] | LinkLost], None],
+        on_complete: Callable[[list[TargetReply] | LinkLost], None],
     ) -> None:
         """Say which target is meant; another one at the address refuses."""
-        self._begin((), timeout, on_done)
+        self._begin((), timeout, on_complete)
         line = f"OPEN {service} {team or WHO} {target.name}\r\n"
         self._stream.send(line.encode("latin-1"))
 
@@ -179,7 +179,7 @@
             case "READY":
                 state, _, position = rest.partition(" ")
                 self._reply.state = STATES.get(state, SessionState.FAILED)
-                self._reply.position = read_position(position)
+                self._reply.position = parse_position(position)
                 self._finish_reply()
             case _:
                 self._lose(LinkLost())
@@ -261,7 +261,7 @@
 
 
 def _after(position: Position | None) -> str:
-    return "" if position is None else f"AFTER {position_text(position)} "
+    return "" if position is None else f"AFTER {format_position(position)} "
 
 
 def _name(shape: Shape) -> str:
@@ -285,7 +285,7 @@
     fields = rows[0].split(" ")
     try:
         role, term, received, held, lag, _busy, connections = fields[:7]
-        position = read_position(received) or Position()
+        position = parse_position(received) or Position()
         return TargetReport(
             is_primary=role == "primary",
             term=int(term),
@@ -336,23 +336,28 @@
                 else:
                     on_done(Opened(link=link))
 
-            link.greet(self._target, self._service, team, timeout, greeted)
+            link.open_session(
+                self._target, self._service, team, timeout, greeted
+            )
 
         self._reactor.connect(self._target.address, timeout, connected)
 
     def check(
-        self, link: LineLink, timeout: float, on_done: Callable[[Health], None]
+        self,
+        link: LineLink,
+        timeout: float,
+        on_complete: Callable[[Health], None],
     ) -> None:
         """Clear an idle connection, which takes no slot of the target."""
 
         def answered(result: list[TargetReply] | LinkLost) -> None:
             match result:
                 case LinkLost(unresponsive=True):
-                    on_done(Health.SILENT)
+                    on_complete(Health.SILENT)
                 case LinkLost():
-                    on_done(Health.CLOSED)
+                    on_complete(Health.CLOSED)
                 case _:
-                    on_done(Health.ALIVE)
+                    on_complete(Health.ALIVE)
 
         link.send([ResetConnection()], timeout, answered)
 
--- a/bamboospring/scenarios.py
+++ b/bamboospring/scenarios.py
@@ -13,9 +13,9 @@
 from dataclasses import replace
 from typing import Any
 
-from bamboospring.testing.estate import CARPATICA
-from bamboospring.testing.estate import Estate
-from bamboospring.testing.estate import MALABAR
+from bamboospring.testing.topology import CARPATICA
+from bamboospring.testing.topology import MALABAR
+from bamboospring.testing.topology import Topology
 
 __all__ = [
     "BookCheck",
@@ -79,7 +79,7 @@
 class Scenario:
     """An estate with its jobs and the checks of its books."""
 
-    estate: Estate
+    estate: Topology
     job: Callable[[int], Job]
     books: tuple[BookCheck, ...]
     lookups_per_step: int
--- a/bamboospring/testing/caller.py
+++ b/bamboospring/testing/caller.py
@@ -50,7 +50,7 @@
     transaction: str = ""
     token: str = ""
     status: int = 0
-    seconds: float = 0.0
+    elapsed: float = 0.0
 
     @property
     def done(self) -> bool:
@@ -69,18 +69,18 @@
     entries: Sequence[str]
     name: str = "tester"
     deadline_ms: int = DEFAULT_DEADLINE_MS
-    at: int = 0
+    entry_index: int = 0
     token: str = ""
     _conns: dict[str, http.client.HTTPConnection] = field(default_factory=dict)
 
     @property
     def entry(self) -> str:
         """Return the address of the entry in use."""
-        return self.entries[self.at % len(self.entries)]
+        return self.entries[self.entry_index % len(self.entries)]
 
     def roam(self, at: int | None = None) -> None:
         """Go on through another entry: the next one, or the given one."""
-        self.at = self.at + 1 if at is None else at
+        self.entry_index = self.entry_index + 1 if at is None else at
 
     def open(self) -> str:
         """Open the session and return its token."""
@@ -148,14 +148,14 @@
             self._drop()
             seconds = time.monotonic() - began
             return CallerAnswer(
-                outcome=LOST, message=repr(exc), seconds=seconds
+                outcome=LOST, message=repr(exc), elapsed=seconds
             )
         seconds = time.monotonic() - began
         if data.get("token"):
             self.token = data["token"]
         return _answer(data, status, seconds)
 
-    def keep_only(self, entries: Sequence[str]) -> None:
+    def close_connections_except(self, entries: Sequence[str]) -> None:
         """Close the connections to all other entries."""
         for entry in [e for e in self._conns if e not in entries]:
             self._conns.pop(entry).close()
@@ -274,5 +274,5 @@
         transaction=data.get("transaction") or "",
         token=data.get("token") or "",
         status=status,
-        seconds=seconds,
+        elapsed=seconds,
     )
--- a/bamboospring/testing/fault_proxy.py
+++ b/bamboospring/testing/fault_proxy.py
@@ -22,7 +22,7 @@
 from bamboospring.testing.http_server import Reply
 from bamboospring.testing.http_server import Request
 from bamboospring.testing.http_server import serve_http
-from bamboospring.testing.loop_watch import watch_loop
+from bamboospring.testing.loop_monitor import watch_loop
 
 __all__ = ["FaultProxy", "Link", "main"]
 
--- a/bamboospring/testing/fleet.py
+++ b/bamboospring/testing/fleet.py
@@ -35,17 +35,17 @@
 from bamboospring.blackboard import Vm
 from bamboospring.rendezvous import choose_holders
 from bamboospring.rendezvous import HOLDERS_PER_GROUP
-from bamboospring.testing.estate import Estate
-from bamboospring.testing.held_ports import HeldPorts
 from bamboospring.testing.process import ManagedProcess
 from bamboospring.testing.process import StartFailed
+from bamboospring.testing.reserved_ports import ReservedPorts
+from bamboospring.testing.topology import Topology
 
 __all__ = [
-    "FAR",
+    "REMOTE_REGION_ADDRESS",
     "Fleet",
     "FleetTarget",
     "FleetVm",
-    "NEAR",
+    "LOCAL_REGION_ADDRESS",
     "call_json",
     "wait_until",
 ]
@@ -56,8 +56,8 @@
 TERMINATED = 128 + signal.SIGTERM
 CONTROL_TIMEOUT = 5.0
 # What processes of the two regions connect from, for the fault proxy.
-NEAR = "127.0.0.1"
-FAR = "127.0.0.2"
+LOCAL_REGION_ADDRESS = "127.0.0.1"
+REMOTE_REGION_ADDRESS = "127.0.0.2"
 PLATFORM = "platform"
 FAULT_PROXY = "fault-proxy"
 OPERATOR_TOKEN = "operator-secret-for-tests"
@@ -124,7 +124,9 @@
     return json.loads(data) if data else None
 
 
-def wait_until(check: Callable[[], Any], *, seconds: float, what: str) -> Any:
+def wait_until(
+    condition: Callable[[], Any], *, seconds: float, what: str
+) -> Any:
     """Poll until `check` returns something true, and return that.
 
     Errors of calls count as "not yet". Raises `StartFailed` after `seconds`
@@ -134,7 +136,7 @@
     last: Exception | None = None
     while time.monotonic() < end:
         try:
-            found = check()
+            found = condition()
         except (OSError, CallFailed, KeyError, ValueError) as exc:
             found, last = None, exc
         if found:
@@ -158,29 +160,29 @@
     def __init__(
         self,
         *,
-        estate: Estate,
+        topology: Topology,
         links: bool = False,
         bootstrap: bool = True,
         vms: int | None = None,
         settings: dict[str, Any] | None = None,
-        rows: dict[str, dict[str, Any]] | None = None,
+        table_rows: dict[str, dict[str, Any]] | None = None,
         vm_list_lag_ms: int = 0,
-        relay: Callable[[str], str] = str,
+        map_address: Callable[[str], str] = str,
     ) -> None:
-        self.estate = estate
-        self.relay = relay
+        self.topology = topology
+        self.map_address = map_address
         self.links = links
         self.bootstrap = bootstrap
         self.settings = settings or {}
-        self.rows = rows or {}
+        self.table_rows = table_rows or {}
         self.vm_list_lag_ms = vm_list_lag_ms
         self.directory = pathlib.Path(tempfile.mkdtemp(prefix="bs-fleet-"))
         self.targets: dict[str, FleetTarget] = {}
         self.vms: dict[str, FleetVm] = {}
         self.entry_processes: dict[str, FleetVm] = {}
-        self._vm_count = estate.vms if vms is None else vms
+        self._vm_count = topology.vms if vms is None else vms
         self._processes: dict[str, ManagedProcess] = {}
-        self._ports = HeldPorts()
+        self._ports = ReservedPorts()
         self._platform_address = ""
         self._proxy_address = ""
         self._closed = False
@@ -257,7 +259,7 @@
         entries: Iterable[str] | None = None,
     ) -> None:
         """Wait until a read of each group is done through each entry."""
-        wanted = tuple(self.estate.groups if groups is None else groups)
+        wanted = tuple(self.topology.groups if groups is None else groups)
         for entry in self.entries() if entries is None else entries:
             for group in wanted:
                 wait_until(
@@ -296,8 +298,8 @@
         process = dataclasses.replace(
             main,
             name=f"{vm}-entry-{number}",
-            peers_listen=self._ports.address(),
-            operators_listen=self._ports.address(),
+            peers_listen=self._ports.reserve(),
+            operators_listen=self._ports.reserve(),
         )
         settings = self._settings_of(process)
         settings["entry"] = {"only": True, "of": vm, "main": main.peers}
@@ -326,7 +328,7 @@
         else:
             process.wait_listening(START_SECONDS)
 
-    def link(
+    def set_link_mode(
         self,
         name: str,
         mode: str,
@@ -417,7 +419,7 @@
                 name=vm.name,
                 address=vm.peers,
                 availability_zone=vm.zone,
-                region=self.estate.region_of(vm.name),
+                region=self.topology.region_of(vm.name),
             )
             for vm in self.vms.values()
         ]
@@ -500,7 +502,7 @@
                 "name": vm.name,
                 "address": vm.peers,
                 "availability_zone": vm.zone,
-                "region": self.estate.region_of(vm.name),
+                "region": self.topology.region_of(vm.name),
                 "state": "leaving" if vm.name in gone else "live",
             }
             for vm in self.vms.values()
@@ -513,43 +515,43 @@
     def _choose_addresses(self) -> None:
         for name, number in self._target_names():
             group = name.rsplit("-m", 1)[0]
-            listen = self._ports.address()
+            listen = self._ports.reserve()
             self.targets[name] = FleetTarget(
                 name=name,
                 group=group,
-                zone=self.estate.zone(number),
+                zone=self.topology.zone(number),
                 site=self._site(number),
                 listen=listen,
-                address=self._ports.address() if self.links else listen,
+                address=self._ports.reserve() if self.links else listen,
             )
-        self._platform_address = self._ports.address()
-        self._proxy_address = self._ports.address()
+        self._platform_address = self._ports.reserve()
+        self._proxy_address = self._ports.reserve()
         for number in range(self._vm_count):
             vm = self._choose_vm(number)
             self.vms[vm.name] = vm
 
     def _target_names(self) -> Iterable[tuple[str, int]]:
-        for group in self.estate.groups:
-            for number in range(self.estate.members):
+        for group in self.topology.groups:
+            for number in range(self.topology.members):
                 yield f"{group}-m{number + 1}", number
 
     def _site(self, number: int) -> str:
-        return self.estate.sites[number % len(self.estate.sites)]
+        return self.topology.sites[number % len(self.topology.sites)]
 
     def _choose_vm(self, number: int) -> FleetVm:
-        callers = self._ports.address()
-        peers = self._ports.address()
+        callers = self._ports.reserve()
+        peers = self._ports.reserve()
         linked = self.links
         return FleetVm(
             name=f"vm-{number + 1}",
-            zone=self.estate.zone(number),
+            zone=self.topology.zone(number),
             callers_listen=callers,
             peers_listen=peers,
-            operators_listen=self._ports.address(),
-            entry=self._ports.address() if linked else callers,
-            peers=self._ports.address() if linked else peers,
+            operators_listen=self._ports.reserve(),
+            entry=self._ports.reserve() if linked else callers,
+            peers=self._ports.reserve() if linked else peers,
             platform=(
-                self._ports.address() if linked else self._platform_address
+                self._ports.reserve() if linked else self._platform_address
             ),
         )
 
@@ -560,8 +562,12 @@
         env["PYTHONPATH"] = os.pathsep.join(part for part in path if part)
         env["PYTHONUNBUFFERED"] = "1"
         command = [module, *args]
-        if name in self.estate.far:
-            command = ["bamboospring.testing.from_address", FAR, *command]
+        if name in self.topology.remote_names:
+            command = [
+                "bamboospring.testing.from_address",
+                REMOTE_REGION_ADDRESS,
+                *command,
+            ]
         process = ManagedProcess(
             name=name,
             argv=[sys.executable, "-m", *command],
@@ -613,14 +619,14 @@
 
     def _start_targets(self) -> None:
         schema = self.directory / "schema.sql"
-        schema.write_text(self.estate.schema, encoding="utf-8")
+        schema.write_text(self.topology.schema, encoding="utf-8")
         for target in self.targets.values():
             self._start_target(target, schema)
         for name in self.targets:
             self._processes[name].wait_listening(START_SECONDS)
 
     def _start_target(self, target: FleetTarget, schema: pathlib.Path) -> None:
-        estate = self.estate
+        estate = self.topology
         data = self.directory / target.name
         data.mkdir()
         options = {
@@ -642,7 +648,7 @@
         self._spawn(target.name, "bamboospring.testing.target", *args)
 
     def _promote_first_members(self) -> None:
-        for group in self.estate.groups:
+        for group in self.topology.groups:
             first, *others = self.members(group)
             for target in (first, *others):
                 call_json(target.listen, "POST", "/fence", {"term": 1})
@@ -652,7 +658,7 @@
                 call_json(target.listen, "POST", "/follow", order)
 
     def _write_groups(self) -> None:
-        for group in self.estate.groups:
+        for group in self.topology.groups:
             members = self.members(group)
             value: dict[str, Any] = {
                 "targets": [self._target_value(t) for t in members],
@@ -670,21 +676,21 @@
     def _target_value(self, target: FleetTarget) -> dict[str, Any]:
         return {
             "name": target.name,
-            "address": self.relay(target.address),
+            "address": self.map_address(target.address),
             "availability_zone": target.zone,
             "site": target.site,
-            "slots": self.estate.slots,
-            "connections": self.estate.connections,
+            "slots": self.topology.slots,
+            "connections": self.topology.connections,
         }
 
     def _write_rows(self) -> None:
         # Imported here: only tables with rows need the hash.
-        if not self.rows:
+        if not self.table_rows:
             return
         from xxhash import xxh64_intdigest
 
         shards: dict[int, dict[str, Any]] = {}
-        for group, row in self.rows.items():
+        for group, row in self.table_rows.items():
             shard = xxh64_intdigest(group.encode()) % 16
             shards.setdefault(shard, {})[group] = {"group": group, **row}
         for shard, rows in shards.items():
@@ -702,14 +708,14 @@
         base: dict[str, Any] = {
             "vm": vm.name,
             "availability_zone": vm.zone,
-            "region": self.estate.region_of(vm.name),
+            "region": self.topology.region_of(vm.name),
             "callers": {"listen": vm.callers_listen},
             "peers": {"listen": vm.peers_listen},
             "operators": {
                 "listen": vm.operators_listen,
                 "token": OPERATOR_TOKEN,
             },
-            "platform": {"address": self.relay(vm.platform)},
+            "platform": {"address": self.map_address(vm.platform)},
             "token_keys": TOKEN_KEYS,
         }
         return _merged(base, self.settings)
--- a/bamboospring/testing/job_runner.py
+++ b/bamboospring/testing/job_runner.py
@@ -21,7 +21,7 @@
 from bamboospring.testing.caller import Caller
 from bamboospring.testing.caller import CallerAnswer
 
-__all__ = ["JobRunner", "Tally"]
+__all__ = ["JobRunner", "RequestStats"]
 
 MAX_MICROSECONDS = 60_000_000
 MAX_PAUSE_SECONDS = 1.0
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Tally:
+class RequestStats:
     """What happened to the requests of some callers."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -43,13 +43,13 @@
     replays: int = 0
     wrong_answers: int = 0
     steps_acknowledged: int = 0
-    steps_open: int = 0
+    steps_unfinished: int = 0
     jobs: int = 0
     acknowledged: list[tuple[str, str]] = field(default_factory=list)
     read_us: HdrHistogram = field(default_factory=_histogram)
     write_us: HdrHistogram = field(default_factory=_histogram)
 
-    def add(self, other: Tally) -> None:
+    def add(self, other: RequestStats) -> None:
         """Add another tally to this one."""
         self.outcomes += other.outcomes
         self.reads += other.reads
@@ -58,7 +58,7 @@
         self.replays += other.replays
         self.wrong_answers += other.wrong_answers
         self.steps_acknowledged += other.steps_acknowledged
-        self.steps_open += other.steps_open
+        self.steps_unfinished += other.steps_unfinished
         self.jobs += other.jobs
         self.acknowledged += other.acknowledged
         self.read_us.add(other.read_us)
@@ -75,7 +75,7 @@
     def __init__(
         self, *, caller: Caller, scenario: Scenario, stop_at: float
     ) -> None:
-        self.tally = Tally()
+        self.stats = RequestStats()
         self._caller = caller
         self._scenario = scenario
         self._stop_at = stop_at
@@ -84,20 +84,20 @@
         """Run all steps of a job, reading its status after each."""
         for number, step in enumerate(job.steps, start=1):
             if not self._run_step(job, step):
-                self.tally.steps_open += 1
+                self.stats.steps_unfinished += 1
                 return
-            self.tally.steps_acknowledged += 1
-            self.tally.acknowledged.append((job.group, step.key))
+            self.stats.steps_acknowledged += 1
+            self.stats.acknowledged.append((job.group, step.key))
             self._caller.roam()
             self._check_status(job, number)
             self._look_up(job)
-        self.tally.jobs += 1
+        self.stats.jobs += 1
 
     def _run_step(self, job: Job, step: Step) -> bool:
         while time.monotonic() < self._stop_at:
             answer = self._try_step(job, step)
             if answer.done:
-                self.tally.replays += answer.replayed
+                self.stats.replays += answer.replayed
                 return True
             if answer.outcome == "failed" and answer.reason == "sql":
                 raise RuntimeError(f"{step.key}: {answer}")
@@ -136,9 +136,9 @@
         if answer is None:
             return
         if not answer.rows or len(answer.rows[0]) != 1:
-            self.tally.wrong_answers += 1
+            self.stats.wrong_answers += 1
         elif answer.rows[0][0] < wanted:
-            self.tally.stale_reads += 1
+            self.stats.stale_reads += 1
 
     def _look_up(self, job: Job) -> None:
         for _ in range(self._scenario.lookups_per_step):
@@ -153,9 +153,9 @@
             )
             self._count(answer)
             if answer.done:
-                self.tally.reads += 1
-                self.tally.reads_at_replicas += answer.at_replica
-                self.tally.read_us.record_value(_microseconds(answer))
+                self.stats.reads += 1
+                self.stats.reads_at_replicas += answer.at_replica
+                self.stats.read_us.record_value(_microseconds(answer))
                 return answer
             self._pause(answer)
         return None
@@ -168,15 +168,15 @@
     def _count_write(self, answer: CallerAnswer) -> CallerAnswer:
         self._count(answer)
         if answer.done:
-            self.tally.write_us.record_value(_microseconds(answer))
+            self.stats.write_us.record_value(_microseconds(answer))
         return answer
 
     def _count(self, answer: CallerAnswer) -> None:
         name = answer.outcome
         if answer.reason:
             name = f"{name}:{answer.reason}"
-        self.tally.outcomes[name] += 1
+        self.stats.outcomes[name] += 1
 
 
 def _microseconds(answer: CallerAnswer) -> int:
-    return max(1, min(MAX_MICROSECONDS, int(answer.seconds * 1e6)))
+    return max(1, min(MAX_MICROSECONDS, int(answer.elapsed * 1e6)))
--- a/bamboospring/testing/operator.py
+++ b/bamboospring/testing/operator.py
@@ -14,7 +14,7 @@
 from bamboospring.testing.fleet import OPERATOR_TOKEN
 from bamboospring.testing.fleet import wait_until
 
-__all__ = ["ForceObserver", "Operator"]
+__all__ = ["TableVersionObserver", "Operator"]
 
 POLL_SECONDS = 0.05
 
@@ -45,14 +45,14 @@
         cells: dict[str, Any],
         *,
         if_version: int | None,
-        number: str = "",
+        edit_id: str = "",
     ) -> dict[str, Any]:
         """Edit one row and return the report; `number` is the edit's id."""
         edit: dict[str, Any] = {"group": group, "cells": cells}
         if if_version is not None:
             edit["if_version"] = if_version
         body = {
-            "id": number or uuid.uuid4().hex,
+            "id": edit_id or uuid.uuid4().hex,
             "author": self.name,
             "comment": "",
             "edits": [edit],
@@ -60,7 +60,7 @@
         report: dict[str, Any] = self.call("POST", "/table/edits", body)
         return report
 
-    def set(self, group: str, **cells: Any) -> dict[str, Any]:
+    def edit_accepted(self, group: str, **cells: Any) -> dict[str, Any]:
         """Edit one row on top of what it is now; it must be accepted."""
         report = self.edit(group, cells, if_version=None)
         assert report["verdict"] == "accepted", report
@@ -76,7 +76,7 @@
         return OperatorClient(vms=(address,), token=OPERATOR_TOKEN)
 
 
-class ForceObserver:
+class TableVersionObserver:
     """Watch the versions in force at each VM, all the time.
 
     `falls` lists every version that was lower than an earlier one at the
@@ -84,7 +84,7 @@
     """
 
     def __init__(self, fleet: Fleet) -> None:
-        self.falls: list[str] = []
+        self.regressions: list[str] = []
         self.samples = 0
         self._fleet = fleet
         self._highest: dict[tuple[str, str], int] = {}
@@ -103,16 +103,16 @@
         for thread in self._threads:
             thread.join(5)
 
-    def reached(self, vm: str, shard: int, version: int) -> bool:
+    def has_reached(self, vm: str, shard: int, version: int) -> bool:
         """Say whether a VM has had a version, or a later one, in force."""
         return self._highest.get((vm, str(shard)), 0) >= version
 
-    def wait_everywhere(
+    def wait_in_force(
         self, shard: int, version: int, vms: Iterable[str], seconds: float
     ) -> None:
         """Wait until a version has been in force at all of some VMs."""
         wait_until(
-            lambda: all(self.reached(vm, shard, version) for vm in vms),
+            lambda: all(self.has_reached(vm, shard, version) for vm in vms),
             seconds=seconds,
             what=f"shard {shard} version {version} in force",
         )
@@ -131,5 +131,7 @@
     def _note(self, vm: str, shard: str, version: int) -> None:
         highest = self._highest.get((vm, shard), 0)
         if version < highest:
-            self.falls.append(f"{vm} shard {shard}: {highest} to {version}")
+            self.regressions.append(
+                f"{vm} shard {shard}: {highest} to {version}"
+            )
         self._highest[vm, shard] = max(highest, version)
--- a/bamboospring/testing/planned_work.py
+++ b/bamboospring/testing/planned_work.py
@@ -17,8 +17,8 @@
 from bamboospring.operator_client import Unreachable
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import wait_until
-from bamboospring.testing.operator import ForceObserver
 from bamboospring.testing.operator import Operator
+from bamboospring.testing.operator import TableVersionObserver
 
 __all__ = ["PlannedWork"]
 
@@ -43,7 +43,7 @@
         self._seed = seed
         self._told: dict[str, str] = {}
         self._ended = threading.Event()
-        self._observer = ForceObserver(fleet)
+        self._observer = TableVersionObserver(fleet)
         self._threads = [
             threading.Thread(target=work, daemon=True)
             for work in (self._edit, self._restart)
@@ -77,7 +77,7 @@
         except Exception as exc:
             wrong.append(repr(exc))
         self._observer.stop()
-        return wrong + self._observer.falls
+        return wrong + self._observer.regressions
 
     def _edit(self) -> None:
         chance = random.Random(f"edits/{self._seed}")
@@ -91,7 +91,7 @@
                 # An edit that changes nothing is not kept in the history.
                 "max_staleness_ms": FIRST_STALENESS_MS + serial,
             }
-            group = chance.choice(self._fleet.estate.groups)
+            group = chance.choice(self._fleet.topology.groups)
             vm = chance.choice(sorted(self._fleet.vms))
             self._submit(vm, group, cells)
 
@@ -100,7 +100,7 @@
         operator = Operator(fleet=self._fleet, vm=vm)
         try:
             report = operator.edit(
-                group, cells, if_version=None, number=number
+                group, cells, if_version=None, edit_id=number
             )
         except Unreachable:
             report = {"verdict": "unreachable"}
--- a/bamboospring/testing/platform.py
+++ b/bamboospring/testing/platform.py
@@ -23,7 +23,7 @@
 from bamboospring.testing.http_server import Reply
 from bamboospring.testing.http_server import Request
 from bamboospring.testing.http_server import serve_http
-from bamboospring.testing.loop_watch import watch_loop
+from bamboospring.testing.loop_monitor import watch_loop
 
 __all__ = ["ObjectStore", "Platform", "VmList", "main"]
 
--- a/bamboospring/testing/held_ports.py
+++ b/bamboospring/testing/reserved_ports.py
@@ -12,18 +12,18 @@
 
 import socket
 
-__all__ = ["HeldPorts"]
+__all__ = ["ReservedPorts"]
 
 HOST = "127.0.0.1"
 
 
-class HeldPorts:
+class ReservedPorts:
     """Ports of one fleet, held until `close`."""
 
     def __init__(self) -> None:
         self._socks: list[socket.socket] = []
 
-    def address(self) -> str:
+    def reserve(self) -> str:
         """Return a new address that nobody else is given."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/bamboospring/testing/session_callers.py
+++ b/bamboospring/testing/session_callers.py
@@ -12,10 +12,10 @@
 import random
 import time
 
-from bamboospring.testing.session_judge import Asked
-from bamboospring.testing.session_judge import SessionJudge
+from bamboospring.testing.session_checker import SentStatement
+from bamboospring.testing.session_checker import SessionChecker
 
-__all__ = ["CallerKey", "CallerRoute", "SessionCaller", "Told"]
+__all__ = ["CallerKey", "CallerRoute", "SessionCaller", "StatementReply"]
 
 PROMISES = ("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "MAXCONN")
 ANSWER_TIMEOUT = 6.0
@@ -30,8 +30,8 @@
     database: str
     group: str
     max_age: float
-    writes: float
-    transactions: float
+    write_share: float
+    transaction_share: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Told:
+class StatementReply:
     """The answer to one statement; `code` is empty for a success."""
 
     code: str = ""
@@ -65,7 +65,7 @@
         number: int,
         routes: list[CallerRoute],
         addresses: Callable[[], list[str]],
-        judge: SessionJudge,
+        judge: SessionChecker,
         seed: int,
         pause: float = 0.02,
         keys: Sequence[CallerKey] = (CallerKey(),),
@@ -80,12 +80,12 @@
         self._pause = pause
         self._keys = keys
         # May be put off while it works.
-        self.until = 0.0
+        self.stop_at = 0.0
 
     async def run(self, until: float) -> None:
         """Work until a monotonic time."""
-        self.until = until
-        while time.monotonic() < self.until:
+        self.stop_at = until
+        while time.monotonic() < self.stop_at:
             route = self._random.choice(self._routes)
             session = _Session(
                 number=next(_numbers),
@@ -107,7 +107,7 @@
 
     async def _work(self, session: _Session) -> None:
         for _ in range(self._random.choice((1, 5, 40))):
-            if time.monotonic() >= self.until:
+            if time.monotonic() >= self.stop_at:
                 return
             await session.operation()
             await asyncio.sleep(self._random.uniform(0, 2 * self._pause))
@@ -119,7 +119,7 @@
 
     number: int
     route: CallerRoute
-    judge: SessionJudge
+    judge: SessionChecker
     random: random.Random
     outcomes: Counter[str]
     latencies: list[float]
@@ -154,7 +154,7 @@
             await self._set()
         elif draw < 0.1:
             await self._prepare()
-        elif self.random.random() < self.route.transactions:
+        elif self.random.random() < self.route.transaction_share:
             await self._transaction()
         else:
             await self._single()
@@ -168,7 +168,7 @@
 
     async def _prepare(self) -> None:
         name = self.random.choice(("a", "b"))
-        writes = self.random.random() < self.route.writes
+        writes = self.random.random() < self.route.write_share
         shape = f"q{self.random.randrange(6)}"
         mode = "WRITE" if writes else "READ"
         told = await self._ask("-p", f"PREPARE {name} {mode} {shape}")
@@ -177,7 +177,7 @@
 
     async def _single(self) -> None:
         began = time.monotonic()
-        writes = self.random.random() < self.route.writes
+        writes = self.random.random() < self.route.write_share
         id, writes, told = await self._statement(writes, began, "")
         self._count("write" if writes else "read", told, began)
         if writes:
@@ -186,7 +186,7 @@
     async def _transaction(self) -> None:
         """Work in a transaction with pauses, sometimes leaving midway."""
         began = time.monotonic()
-        writing = self.random.random() < self.route.writes
+        writing = self.random.random() < self.route.write_share
         transaction = _new_id()
         told = await self._ask("-b", "BEGIN" if writing else "BEGIN READ")
         if told.code:
@@ -204,11 +204,11 @@
             if told.code:
                 await self._ask("-r", "ROLLBACK")
                 self._count("statement", told, began)
-                self._tell(tuple(wrote), Told(code="ABORTED"))
+                self._tell(tuple(wrote), StatementReply(code="ABORTED"))
                 return
         if self.random.random() < 0.1:
             await self._ask("-r", "ROLLBACK")
-            self._tell(tuple(wrote), Told(code="ABORTED"))
+            self._tell(tuple(wrote), StatementReply(code="ABORTED"))
             return
         id = _new_id()
         self._note(id, "COMMIT", began, transaction)
@@ -218,7 +218,7 @@
 
     async def _statement(
         self, writes: bool, began: float, transaction: str
-    ) -> tuple[str, bool, Told]:
+    ) -> tuple[str, bool, StatementReply]:
         id = _new_id()
         item = f"i{self.random.randrange(ITEMS)}"
         data = f" d{id[:6]}" if writes else ""
@@ -240,7 +240,7 @@
         shape: str = "",
     ) -> None:
         sent_at = began if transaction else time.monotonic()
-        self.judge.asked[id] = Asked(
+        self.judge.sent_statements[id] = SentStatement(
             id=id,
             group=self.route.group,
             session=self.number,
@@ -255,7 +255,7 @@
             team=self.key.team,
         )
 
-    async def _ask(self, id: str, text: str) -> Told:
+    async def _ask(self, id: str, text: str) -> StatementReply:
         assert self.writer is not None and self.reader is not None
         if id.startswith("-"):
             id = _new_id()
@@ -275,7 +275,7 @@
                 case "ERROR":
                     code = rest.split(" ")[0]
                 case "READY":
-                    return Told(
+                    return StatementReply(
                         code=code,
                         state=rest[:1],
                         rows=tuple(rows),
@@ -284,7 +284,7 @@
                 case _:
                     raise Gone()
 
-    def _tell(self, requests: tuple[str, ...], told: Told) -> None:
+    def _tell(self, requests: tuple[str, ...], told: StatementReply) -> None:
         word = "unknown"
         if not told.code:
             word = "done"
@@ -292,7 +292,7 @@
             word = "nothing"
         self.judge.told(self.route.group, self.number, requests, word)
 
-    def _count(self, what: str, told: Told, began: float) -> None:
+    def _count(self, what: str, told: StatementReply, began: float) -> None:
         self.outcomes[f"{what}:{told.code or 'ok'}"] += 1
         if not told.code:
             self.latencies.append(time.monotonic() - began)
--- a/bamboospring/testing/session_judge.py
+++ b/bamboospring/testing/session_checker.py
@@ -16,7 +16,7 @@
 from bamboospring.testing.session_members import Member
 from bamboospring.testing.session_platform import PromotionOrder
 
-__all__ = ["Asked", "SessionJudge", "TeamLimits"]
+__all__ = ["SentStatement", "SessionChecker", "TeamLimits"]
 
 # What runs later than this after a member has begun to leave, in seconds, was
 # sent there too late.
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Asked:
+class SentStatement:
     """One statement of a caller, as it was sent."""
 
     id: str
@@ -60,7 +60,7 @@
     shape: str = ""
     key: str = ""
     team: str = ""
-    arrived_at: float | None = None
+    executed_at: float | None = None
 
 
 @dataclass(slots=True, kw_only=True)
@@ -72,18 +72,18 @@
     session: int
 
 
-class SessionJudge:
+class SessionChecker:
     """Is told what runs and what callers hear, and finds what is wrong."""
 
     def __init__(self) -> None:
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.asked: dict[str, Asked] = {}
-        self.leaving: dict[str, float] = {}
+        self.sent_statements: dict[str, SentStatement] = {}
+        self.leaving_since: dict[str, float] = {}
         # When the store acknowledged that a key is gone, and for how long it
         # may be used after that.
-        self.removed: dict[str, float] = {}
-        self.key_life = float("inf")
+        self.key_removed_at: dict[str, float] = {}
+        self.removed_key_lifetime = float("inf")
         self._acknowledged: dict[str, list[Acknowledged]] = {}
         self._commits: dict[str, list[tuple[Entry, str, float]]] = {}
         self._promoted: dict[str, list[tuple[float, int, str]]] = {}
@@ -100,7 +100,7 @@
     def ran(self, member: Member, link: Link, id: str, text: str) -> None:
         """Check a statement at the moment at which it runs."""
         self.counts["ran"] += 1
-        asked = self.asked.get(id)
+        asked = self.sent_statements.get(id)
         if asked is None:
             self._fault(f"nobody sent {id} {text[:40]}")
             return
@@ -108,31 +108,33 @@
             self._fault(f"{id} ran in {member.group.name}")
         if link.values != asked.values:
             self._fault(f"{id} ran with {link.values}, not {asked.values}")
-        asked.arrived_at = time.monotonic()
+        asked.executed_at = time.monotonic()
         self._check_team(link, asked)
         self._check_text(link, asked, text)
         self._check_transaction(link, asked)
         if not text.startswith("WRITE") and asked.max_age is not None:
             self._check_fresh(member, asked)
-        since = self.leaving.get(member.id)
+        since = self.leaving_since.get(member.id)
         late = since is not None and time.monotonic() - since > LEAVING_LIMIT
         if late and not asked.transaction:
             self._fault(f"{id} ran at leaving {member.id}")
 
-    def _check_team(self, link: Link, asked: Asked) -> None:
+    def _check_team(self, link: Link, asked: SentStatement) -> None:
         if not asked.key:
             return
         if link.who != asked.team:
             self._fault(f"{asked.id} of {asked.team} ran as {link.who}")
-        removed_at = self.removed.get(asked.key)
+        removed_at = self.key_removed_at.get(asked.key)
         if removed_at is not None:
             late = asked.sent_at - removed_at
-            if late > self.key_life:
+            if late > self.removed_key_lifetime:
                 self._fault(
                     f"{asked.id} ran {late:.3f} s after its key was removed"
                 )
 
-    def check_limits(self, limits: dict[str, TeamLimits]) -> dict[str, int]:
+    def check_team_limits(
+        self, limits: dict[str, TeamLimits]
+    ) -> dict[str, int]:
         """Check each team's operations; returns the most in any window."""
         most: dict[str, int] = {}
         for team, allowed in limits.items():
@@ -147,14 +149,14 @@
     def _operations(self, team: str) -> list[tuple[float, float]]:
         """Return when operations of a team were sent and ran first."""
         found: dict[str, tuple[float, float]] = {}
-        for asked in self.asked.values():
-            if asked.team == team and asked.arrived_at is not None:
+        for asked in self.sent_statements.values():
+            if asked.team == team and asked.executed_at is not None:
                 name = asked.transaction or asked.attempt
-                now = (asked.sent_at, asked.arrived_at)
+                now = (asked.sent_at, asked.executed_at)
                 found[name] = min(found.get(name, now), now)
         return sorted(found.values())
 
-    def _check_text(self, link: Link, asked: Asked, text: str) -> None:
+    def _check_text(self, link: Link, asked: SentStatement, text: str) -> None:
         if not text.startswith("EXECUTE"):
             if text != asked.text:
                 self._fault(f"{asked.id}: {asked.text!r} became {text!r}")
@@ -163,7 +165,7 @@
         if link.names[name][1] != asked.shape:
             self._fault(f"{asked.id}: {name} is {link.names[name]}")
 
-    def _check_transaction(self, link: Link, asked: Asked) -> None:
+    def _check_transaction(self, link: Link, asked: SentStatement) -> None:
         inside = link.state == "T"
         if inside != bool(asked.transaction):
             self._fault(f"{asked.id} ran in state {link.state}")
@@ -171,11 +173,11 @@
         if not inside:
             return
         for other in link.ran:
-            owner = self.asked[other].transaction
+            owner = self.sent_statements[other].transaction
             if owner != asked.transaction:
                 self._fault(f"{asked.id} ran inside {owner}")
 
-    def _check_fresh(self, member: Member, asked: Asked) -> None:
+    def _check_fresh(self, member: Member, asked: SentStatement) -> None:
         assert asked.max_age is not None
         began = asked.sent_at
         have = {entry.position for entry in member.log}
@@ -254,7 +256,7 @@
             )
         )
 
-    def check_orders(self, orders: list[PromotionOrder]) -> None:
+    def check_promotions(self, orders: list[PromotionOrder]) -> None:
         """Check the fencing numbers of all orders of promotion."""
         highest = 0
         holders: dict[int, str] = {}
@@ -270,8 +272,8 @@
         return self._lost.get(group, set())
 
     def _fault(self, text: str) -> None:
-        if len(self.wrong) < 100:
-            self.wrong.append(text)
+        if len(self.violations) < 100:
+            self.violations.append(text)
 
 
 def _most_in_window(operations: list[tuple[float, float]]) -> int:
--- a/bamboospring/testing/session_fleet.py
+++ b/bamboospring/testing/session_fleet.py
@@ -18,19 +18,19 @@
 import urllib.request
 
 from bamboospring.testing.fault_proxy import Link
-from bamboospring.testing.held_ports import HeldPorts
 from bamboospring.testing.process import ManagedProcess
+from bamboospring.testing.reserved_ports import ReservedPorts
 from bamboospring.testing.session_callers import CallerKey
 from bamboospring.testing.session_callers import CallerRoute
-from bamboospring.testing.session_judge import SessionJudge
-from bamboospring.testing.session_judge import TeamLimits
+from bamboospring.testing.session_checker import SessionChecker
+from bamboospring.testing.session_checker import TeamLimits
 from bamboospring.testing.session_members import Group
 from bamboospring.testing.session_members import Member
-from bamboospring.testing.session_members import MemberKnobs
-from bamboospring.testing.session_platform import PromotionDesk
+from bamboospring.testing.session_members import MemberSettings
+from bamboospring.testing.session_platform import PromotionService
 from bamboospring.testing.session_platform import SessionStore
-from bamboospring.testing.session_platform import StoreCopy
 from bamboospring.testing.session_platform import StoreFaults
+from bamboospring.testing.session_platform import StoreSnapshot
 
 __all__ = ["FleetTeam", "SessionFleet", "VmProcess"]
 
@@ -63,7 +63,7 @@
     readiness: str
     settings: Path
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Ask the VM whether callers may be sent to it."""
         url = f"http://{self.readiness}/api/readiness"
         try:
@@ -81,18 +81,18 @@
         *,
         vms: int = 3,
         groups: int = 2,
-        knobs: MemberKnobs | None = None,
+        member_settings: MemberSettings | None = None,
         seed: int = 0,
         grace_ms: int = 4000,
         teams: dict[str, FleetTeam] | None = None,
         key_life_ms: int | None = None,
     ) -> None:
-        self.judge = SessionJudge()
+        self.checker = SessionChecker()
         self.teams = teams
         self._key_life_ms = key_life_ms
         if key_life_ms is not None:
-            self.judge.key_life = key_life_ms / 1000
-        self.knobs = knobs or MemberKnobs()
+            self.checker.removed_key_lifetime = key_life_ms / 1000
+        self.member_settings = member_settings or MemberSettings()
         self.store = SessionStore(seed=seed)
         self.groups: dict[str, Group] = {}
         self.vms: dict[str, VmProcess] = {}
@@ -100,29 +100,32 @@
         self._vm_count = vms
         self._grace_ms = grace_ms
         self._folder = tempfile.TemporaryDirectory()
-        self._ports = HeldPorts()
+        self._ports = ReservedPorts()
         self._tasks: list[asyncio.Task[None]] = []
         self._beats: dict[str, int] = {}
         self._version = 0
         self._config: dict[str, Any] = {}
         self.added_databases: list[str] = []
-        self.silent_entries: set[str] = set()
+        self.suppressed_heartbeats: set[str] = set()
         for number in range(groups):
             name = f"group{number}"
             group = Group(
-                name=name, judge=self.judge, knobs=self.knobs, seed=seed
+                name=name,
+                judge=self.checker,
+                knobs=self.member_settings,
+                seed=seed,
             )
             for place, zone in enumerate(ZONES):
                 group.add(f"{name}-m{place}", zone, primary=place == 0)
             self.groups[name] = group
-        self.desk = PromotionDesk(self.groups)
+        self.promotion_service = PromotionService(self.groups)
 
     async def start(self) -> None:
         """Start all and wait until the VMs are ready."""
         await self.store.start()
-        await self.desk.start()
+        await self.promotion_service.start()
         for member in self.members():
-            member.address = self._ports.address()
+            member.address = self._ports.reserve()
             await member.start()
             await self._link(member.id, member.address)
         for number in range(self._vm_count):
@@ -156,7 +159,7 @@
     def primary(self, group: str) -> Member:
         """Return the member that leads the highest term."""
         members = self.groups[group].members.values()
-        return max((m for m in members if m.leads), key=lambda m: m.term)
+        return max((m for m in members if m.is_primary), key=lambda m: m.term)
 
     def routes(self) -> list[CallerRoute]:
         """Return the databases of the configuration, as callers see them."""
@@ -165,8 +168,8 @@
                 database=f"{group}-{kind}",
                 group=group,
                 max_age=age or 0.0,
-                writes=writes,
-                transactions=transactions,
+                write_share=writes,
+                transaction_share=transactions,
             )
             for group in self.groups
             for kind, age, writes, transactions in KINDS
@@ -204,7 +207,7 @@
             {
                 "name": group,
                 "healthPath": "/health",
-                "maxConnections": self.knobs.connections,
+                "maxConnections": self.member_settings.connections,
                 "syncReplicas": 0,
             }
             for group in self.groups
@@ -223,19 +226,19 @@
         self.store.put("config", "main", config)
         return self._version
 
-    async def lose_newest_writes(
-        self, copy: StoreCopy, *, away: float, rewritten_after: float
+    async def restore_store(
+        self, copy: StoreSnapshot, *, outage: float, rewrite_delay: float
     ) -> None:
         """Have the store go away and come back from an older copy.
 
         Members file their entries again at their next heartbeat; the operator
         writes the newest configuration again so many seconds after the return.
         """
-        self.store.faults = StoreFaults(down="reset")
-        await asyncio.sleep(away)
+        self.store.faults = StoreFaults(outage="reset")
+        await asyncio.sleep(outage)
         self.store.restore(copy)
         self.store.faults = StoreFaults()
-        await asyncio.sleep(rewritten_after)
+        await asyncio.sleep(rewrite_delay)
         self.store.put("config", "main", self._config)
 
     def remove_key(self, key: str) -> None:
@@ -244,7 +247,7 @@
             if key in team.keys:
                 team.keys.remove(key)
         self.write_config()
-        self.judge.removed[key] = time.monotonic()
+        self.checker.key_removed_at[key] = time.monotonic()
 
     def caller_keys(self, *teams: str) -> list[CallerKey]:
         """Return the keys of these teams, all if none is named."""
@@ -261,7 +264,7 @@
         while time.monotonic() < until:
             running = [v for v in self.vms.values() if v.process.running]
             ready = await asyncio.gather(
-                *(asyncio.to_thread(vm.ready) for vm in running)
+                *(asyncio.to_thread(vm.is_ready) for vm in running)
             )
             if all(ready):
                 return
@@ -269,7 +272,7 @@
         tails = "\n".join(v.process.tail(15) for v in self.vms.values())
         raise TimeoutError(f"VMs are not ready:\n{tails}")
 
-    def log(self, vm: str) -> str:
+    def read_log(self, vm: str) -> str:
         """Return what a VM has logged so far."""
         path = self.vms[vm].process.log_path
         return path.read_text() if path.exists() else ""
@@ -287,8 +290,13 @@
             await asyncio.sleep(BEAT)
 
     def _file(self, member: Member) -> None:
-        silent = member.id in self.silent_entries
-        if not member.up or member.dark or silent or self.store.faults.down:
+        silent = member.id in self.suppressed_heartbeats
+        if (
+            not member.is_running
+            or member.unresponsive
+            or silent
+            or self.store.faults.outage
+        ):
             missed = self._beats[member.id] = self._beats.get(member.id, 0) + 1
             if missed >= BEATS_UNTIL_GONE:
                 self.store.delete("servers", member.id)
@@ -300,10 +308,10 @@
             "address": self.links[member.id].listen,
             "zone": member.zone,
             "version": "v1",
-            "slots": self.knobs.slots,
+            "slots": self.member_settings.slots,
             "state": "draining" if member.draining else "ready",
             "warmupRemainingMs": 0,
-            "databaseRole": "primary" if member.leads else "replica",
+            "databaseRole": "primary" if member.is_primary else "replica",
             "sequence": old.get("sequence", 0) + 1,
         }
         self.store.put("servers", member.id, entry)
@@ -311,7 +319,7 @@
     def _add_vm(self, name: str, zone: str) -> None:
         folder = Path(self._folder.name)
         callers, readiness, peers, metrics = (
-            self._ports.address() for _ in range(4)
+            self._ports.reserve() for _ in range(4)
         )
         settings = folder / f"{name}.json"
         cfg = {
@@ -322,7 +330,7 @@
             "peers": peers,
             "operators": metrics,
             "platform": self.links[f"{name}-store"].listen,
-            "orders": self.desk.address,
+            "orders": self.promotion_service.address,
             "timing": {
                 "grace_ms": self._grace_ms,
                 "key_life_ms": self._key_life_ms,
--- a/bamboospring/testing/session_members.py
+++ b/bamboospring/testing/session_members.py
@@ -22,7 +22,7 @@
     "Link",
     "Member",
     "MemberJudge",
-    "MemberKnobs",
+    "MemberSettings",
 ]
 
 READ_LIMIT = 2 * 1024 * 1024
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class MemberKnobs:
+class MemberSettings:
     """How members behave; times in seconds, shares from 0 to 1."""
 
     work: float = 0.004
@@ -83,7 +83,7 @@
         *,
         name: str,
         judge: MemberJudge,
-        knobs: MemberKnobs,
+        knobs: MemberSettings,
         seed: int = 0,
     ) -> None:
         self.name = name
@@ -101,7 +101,7 @@
 
     def connected(self, a: Member, b: Member) -> bool:
         """Tell whether two members reach each other."""
-        both_up = a.up and b.up
+        both_up = a.is_running and b.is_running
         return both_up and frozenset((a.id, b.id)) not in self.cut
 
     def replicate(self, source: Member) -> None:
@@ -116,15 +116,15 @@
     async def promote(self, id: str) -> bool:
         """Have a member lead the next term after a while."""
         member = self.members.get(id)
-        if member is None or not member.up:
+        if member is None or not member.is_running:
             return False
-        if member.leads:
+        if member.is_primary:
             return True
         await asyncio.sleep(self.knobs.promote)
-        if not member.up:
+        if not member.is_running:
             return False
         member.term = max(m.term for m in self.members.values()) + 1
-        member.leads = True
+        member.is_primary = True
         member.held_term = 0
         self.judge.promoted(self, member)
         for other in self.members.values():
@@ -135,13 +135,13 @@
 
     async def _spread(self, leader: Member) -> None:
         """Have the others follow once they reach the new primary."""
-        while leader.leads and leader.up:
+        while leader.is_primary and leader.is_running:
             for other in self.members.values():
                 if other is leader or not self.connected(leader, other):
                     continue
-                if other.leads and other.term < leader.term:
+                if other.is_primary and other.term < leader.term:
                     other.step_down_at(TAIL_OF_PROMOTE)
-                elif not other.leads:
+                elif not other.is_primary:
                     other.receive(leader, len(leader.log))
             await asyncio.sleep(0.1)
 
@@ -155,14 +155,14 @@
         self.group = group
         self.id = id
         self.zone = zone
-        self.leads = primary
+        self.is_primary = primary
         self.term = 1
         self.held_term = 0
         self.lag = group.knobs.lag
         self.work = group.knobs.work
         self.log: list[Entry] = []
         self.draining = False
-        self.dark = False
+        self.unresponsive = False
         self.address = ""
         self.links: set[Link] = set()
         self.busy = 0
@@ -172,7 +172,7 @@
         self._stepping_down = False
 
     @property
-    def up(self) -> bool:
+    def is_running(self) -> bool:
         """Tell whether its process runs."""
         return self._server is not None
 
@@ -201,7 +201,7 @@
         """Take the primary's log up to a length."""
         if not self.group.connected(source, self):
             return
-        if self.leads or source.term < self.term or not source.leads:
+        if self.is_primary or source.term < self.term or not source.is_primary:
             return
         if self.held_term > source.term:
             return
@@ -213,8 +213,8 @@
 
     def step_down(self, term: int) -> None:
         """Become a replica of a higher term."""
-        if self.leads and self.term < term:
-            self.leads = False
+        if self.is_primary and self.term < term:
+            self.is_primary = False
 
     def step_down_at(self, after: float) -> None:
         """Become a replica a while after the new primary is in reach."""
@@ -224,7 +224,7 @@
 
         def done() -> None:
             self._stepping_down = False
-            self.leads = False
+            self.is_primary = False
 
         asyncio.get_running_loop().call_later(after, done)
 
@@ -325,7 +325,7 @@
         if ready:
             term, number = self.member.position
             lines = [*lines, f"READY {self.state} {term}.{number}"]
-        if self.member.dark:
+        if self.member.unresponsive:
             await asyncio.Event().wait()
         data = "".join(f"{line}\r\n" for line in lines)
         self.writer.write(data.encode("latin-1"))
@@ -374,10 +374,10 @@
             return "LAGGING"
         if self.state == "E" and word not in ("ROLLBACK", "RESET", "STATUS"):
             return "MALFORMED"
-        if word == "BEGIN" and rest != "READ" and not member.leads:
+        if word == "BEGIN" and rest != "READ" and not member.is_primary:
             return f"READONLY {member.id}"
         lost = self.state == "T" and not self.read_only
-        if lost and not (member.leads and member.term == self.term):
+        if lost and not (member.is_primary and member.term == self.term):
             if word in ("READ", "WRITE", "EXECUTE"):
                 return f"READONLY {member.id}"
             if word == "COMMIT" and self.wrote:
@@ -406,14 +406,14 @@
         if not await member.use_slot(0.0005):
             await self._refuse("BUSY")
             return
-        if word == "PAUSE" and not member.leads:
+        if word == "PAUSE" and not member.is_primary:
             if int(rest) > max(member.term, member.held_term):
                 member.held_term = int(rest)
         elif word == "RESUME":
             member.held_term = 0
         elif word == "STEPDOWN":
             member.step_down(int(rest))
-        role = "primary" if member.leads else "replica"
+        role = "primary" if member.is_primary else "replica"
         term, number = member.position
         row = (
             f"ROW {role} {member.term} {term}.{number} {member.held_term} "
@@ -424,14 +424,14 @@
     async def _work(self, id: str, text: str) -> None:
         member = self.member
         writes, item, data = self._parse(text)
-        if writes and not member.leads:
+        if writes and not member.is_primary:
             await self._refuse(f"READONLY {member.id}")
             return
         knobs = member.group.knobs
         if not await member.use_slot(member.work):
             await self._refuse("BUSY")
             return
-        if writes and not member.leads:
+        if writes and not member.is_primary:
             await self._refuse(f"READONLY {member.id}")
             return
         if member.group.random.random() < knobs.fail:
@@ -455,7 +455,7 @@
             return
         await member.use_slot(member.work / 2)
         if self.wrote:
-            if not member.leads or member.term != self.term:
+            if not member.is_primary or member.term != self.term:
                 await self._refuse(f"READONLY {member.id}")
                 return
             member.commit(self)
--- a/bamboospring/testing/session_platform.py
+++ b/bamboospring/testing/session_platform.py
@@ -22,10 +22,10 @@
 from bamboospring.testing.session_members import Group
 
 __all__ = [
-    "PromotionDesk",
+    "PromotionService",
     "PromotionOrder",
     "SessionStore",
-    "StoreCopy",
+    "StoreSnapshot",
     "StoreFaults",
 ]
 
@@ -36,7 +36,7 @@
 class StoreFaults:
     """What goes wrong: `down` is busy, reset, silent or empty."""
 
-    down: str = ""
+    outage: str = ""
     slow: float = 0.0
     lose: float = 0.0
     late: float = 0.0
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class StoreCopy:
+class StoreSnapshot:
     """All that a store holds at one moment."""
 
     revision: int
@@ -123,22 +123,22 @@
         found = self._objects.get((kind, name))
         return None if found is None else found.spec
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Answer older watches that their history is gone."""
         self._events.clear()
         self._oldest = self.revision
         self._wake()
 
-    def copy(self) -> StoreCopy:
+    def snapshot(self) -> StoreSnapshot:
         """Return a copy to come back from."""
-        return StoreCopy(
+        return StoreSnapshot(
             revision=self.revision,
             objects={k: replace(v) for k, v in self._objects.items()},
             events=list(self._events),
             oldest=self._oldest,
         )
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, copy: StoreSnapshot) -> None:
         """Come back from a copy: what was written since is gone.
 
         Revisions go on from the copy's, so some are given out twice.
@@ -177,7 +177,7 @@
     async def _handle(self, conn: Connection, req: Request) -> Reply | None:
         self.calls += 1
         faults = self.faults
-        match faults.down:
+        match faults.outage:
             case "busy":
                 era = {"Store-Era": str(self.era)}
                 return Reply(status=503, body={}, headers=era)
@@ -302,7 +302,7 @@
     fence: int
 
 
-class PromotionDesk:
+class PromotionService:
     """Takes orders of promotion and keeps them for the judge."""
 
     def __init__(self, groups: dict[str, Group]) -> None:
@@ -329,7 +329,7 @@
                 fence=int(req.headers["fencing-token"]),
             )
         )
-        if member is None or not member.up:
+        if member is None or not member.is_running:
             return Reply(status=409, body={})
         asyncio.create_task(group.promote(member.id))
         return Reply(body={})
--- a/bamboospring/testing/session_soak.py
+++ b/bamboospring/testing/session_soak.py
@@ -28,7 +28,7 @@
 from bamboospring.testing.session_members import Group
 from bamboospring.testing.session_platform import StoreFaults
 
-__all__ = ["SoakResult", "run_session_soak"]
+__all__ = ["SessionSoakResult", "run_session_soak"]
 
 CALLERS = 16
 FAULT_SECONDS = (0.3, 4.0)
@@ -47,13 +47,13 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class SoakResult:
+class SessionSoakResult:
     """What a soak found: `wrong` is empty if every promise was kept."""
 
-    wrong: list[str]
+    violations: list[str]
     history: list[str]
     outcomes: Counter[str]
-    counts: Counter[str]
+    event_counts: Counter[str]
     served_at_end: int = 0
     logs: dict[str, str] = field(default_factory=dict)
 
@@ -163,41 +163,45 @@
         self.note(f"crash {member.id} {seconds:.1f}")
         member.stop()
         await asyncio.sleep(seconds)
-        if not member.up:
+        if not member.is_running:
             await member.start()
 
     async def crash_replica(self, seconds: float) -> None:
-        members = [m for m in self.fleet.members() if not m.leads and m.up]
+        members = [
+            m
+            for m in self.fleet.members()
+            if not m.is_primary and m.is_running
+        ]
         if not members:
             return
         member = self.random.choice(members)
         self.note(f"crash replica {member.id} {seconds:.1f}")
         member.stop()
         await asyncio.sleep(seconds)
-        if not member.up:
+        if not member.is_running:
             await member.start()
 
     async def dark_primary(self, seconds: float) -> None:
         member = self.fleet.primary(self._group().name)
         self.note(f"dark {member.id} {seconds:.1f}")
-        member.dark = True
+        member.unresponsive = True
         link = self.fleet.links[member.id]
         link.set_mode(mode="silent", direction="both", delay_ms=0)
         await asyncio.sleep(seconds)
-        member.dark = False
+        member.unresponsive = False
         link.set_mode(mode="pass", direction="both", delay_ms=0)
 
     async def leave_primary(self, seconds: float) -> None:
         member = self.fleet.primary(self._group().name)
         self.note(f"leave {member.id}")
         member.draining = True
-        self.fleet.judge.leaving[member.id] = time.monotonic() + 0.5
+        self.fleet.checker.leaving_since[member.id] = time.monotonic() + 0.5
         await asyncio.sleep(7.5)
         member.stop()
         member.draining = False
-        self.fleet.judge.leaving.pop(member.id, None)
+        self.fleet.checker.leaving_since.pop(member.id, None)
         await asyncio.sleep(0.5)
-        if not member.up:
+        if not member.is_running:
             await member.start()
 
     async def lag_replicas(self, seconds: float) -> None:
@@ -248,7 +252,7 @@
 
     async def store_down(self, seconds: float) -> None:
         how = self.random.choice(("busy", "reset", "silent"))
-        await self._store_fault(StoreFaults(down=how), seconds * 1.5)
+        await self._store_fault(StoreFaults(outage=how), seconds * 1.5)
 
     async def store_slow(self, seconds: float) -> None:
         slow = self.random.choice((0.1, 0.4))
@@ -261,10 +265,10 @@
 
     async def store_forgets(self, seconds: float) -> None:
         self.note("store forgets")
-        self.fleet.store.forget_history()
+        self.fleet.store.discard_history()
 
     async def store_returns(self, seconds: float) -> None:
-        copy = self.fleet.store.copy()
+        copy = self.fleet.store.snapshot()
         await asyncio.sleep(seconds)
         away = self.random.uniform(*AWAY_SECONDS)
         rewritten_after = self.random.uniform(0.0, REWRITTEN_WITHIN)
@@ -272,8 +276,8 @@
             f"store back from a copy of {seconds:.1f} s before, away "
             f"{away:.1f}, rewritten after {rewritten_after:.1f}"
         )
-        await self.fleet.lose_newest_writes(
-            copy, away=away, rewritten_after=rewritten_after
+        await self.fleet.restore_store(
+            copy, outage=away, rewrite_delay=rewritten_after
         )
 
     async def vm_cut_from_store(self, seconds: float) -> None:
@@ -287,11 +291,11 @@
 
     async def lose_answers(self, seconds: float) -> None:
         self.note(f"lose answers {seconds:.1f}")
-        self.fleet.knobs.lose_answers = 0.05
-        self.fleet.knobs.fail = self.random.choice((0.0, 0.05))
+        self.fleet.member_settings.lose_answers = 0.05
+        self.fleet.member_settings.fail = self.random.choice((0.0, 0.05))
         await asyncio.sleep(seconds)
-        self.fleet.knobs.lose_answers = 0.0
-        self.fleet.knobs.fail = 0.0
+        self.fleet.member_settings.lose_answers = 0.0
+        self.fleet.member_settings.fail = 0.0
 
     async def change_config(self, seconds: float) -> None:
         self.note("change the configuration")
@@ -306,11 +310,11 @@
     seconds: float,
     vms: int = 3,
     callers: int = CALLERS,
-    returns: bool = False,
-) -> SoakResult:
+    restore_store: bool = False,
+) -> SessionSoakResult:
     """Run callers and faults, let all settle, and return what was found."""
     fleet = SessionFleet(vms=vms, seed=seed)
-    faults = _Faults(fleet, seed, returns=returns)
+    faults = _Faults(fleet, seed, returns=restore_store)
     try:
         await fleet.start()
         workers = [
@@ -318,7 +322,7 @@
                 number=number,
                 routes=fleet.routes(),
                 addresses=fleet.addresses,
-                judge=fleet.judge,
+                judge=fleet.checker,
                 seed=seed,
             )
             for number in range(callers)
@@ -330,24 +334,24 @@
         await _inject(faults, until)
         # Counted from the end of the last fault, which may be seconds later.
         for worker in workers:
-            worker.until = time.monotonic() + SETTLE_SECONDS
+            worker.stop_at = time.monotonic() + SETTLE_SECONDS
         await asyncio.sleep(SETTLE_SECONDS - COUNTED_SECONDS)
         before = sum(len(w.latencies) for w in workers)
         await asyncio.gather(*work)
         served = sum(len(w.latencies) for w in workers) - before
-        fleet.judge.check_orders(fleet.desk.orders)
+        fleet.checker.check_promotions(fleet.promotion_service.orders)
         if served < callers * 4:
-            fleet.judge.wrong.append(f"only {served} served at the end")
+            fleet.checker.violations.append(f"only {served} served at the end")
         outcomes: Counter[str] = Counter()
         for worker in workers:
             outcomes.update(worker.outcomes)
-        return SoakResult(
-            wrong=fleet.judge.wrong,
+        return SessionSoakResult(
+            violations=fleet.checker.violations,
             history=faults.history,
             outcomes=outcomes,
-            counts=fleet.judge.counts,
+            event_counts=fleet.checker.counts,
             served_at_end=served,
-            logs={name: fleet.log(name) for name in fleet.vms},
+            logs={name: fleet.read_log(name) for name in fleet.vms},
         )
     finally:
         await fleet.close()
@@ -387,20 +391,25 @@
             seconds=args.seconds,
             vms=args.vms,
             callers=args.callers,
-            returns=args.returns,
+            restore_store=args.returns,
         )
     )
     print("faults:", "; ".join(result.history))
     print("outcomes:", dict(sorted(result.outcomes.items())))
-    print("members:", dict(result.counts), "at the end:", result.served_at_end)
+    print(
+        "members:",
+        dict(result.event_counts),
+        "at the end:",
+        result.served_at_end,
+    )
     if args.logs:
         for name, text in result.logs.items():
             with open(f"{args.logs}/{name}.log", "w") as file:
                 file.write(text)
-    for line in result.wrong:
+    for line in result.violations:
         print("WRONG", line)
-    print(f"seed {args.seed}: {len(result.wrong)} wrong")
-    return 1 if result.wrong else 0
+    print(f"seed {args.seed}: {len(result.violations)} wrong")
+    return 1 if result.violations else 0
 
 
 if __name__ == "__main__":
--- a/bamboospring/testing/soak.py
+++ b/bamboospring/testing/soak.py
@@ -22,12 +22,12 @@
 
 from bamboospring.testing.caller import Caller
 from bamboospring.testing.caller import CallerAnswer
-from bamboospring.testing.estate import CARPATICA
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import wait_until
 from bamboospring.testing.planned_work import PlannedWork
+from bamboospring.testing.topology import CARPATICA
 
-__all__ = ["Books", "check_books", "run_soak"]
+__all__ = ["AnswerLog", "check_answers", "run_soak"]
 
 ACCOUNTS = 8
 OPENING_BALANCE = 1000
@@ -44,13 +44,13 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Books:
+class AnswerLog:
     """What the callers were told, by group and id of the entry written."""
 
     lock: threading.Lock = field(default_factory=threading.Lock)
-    done: set[tuple[str, str]] = field(default_factory=set)
+    acknowledged: set[tuple[str, str]] = field(default_factory=set)
     not_run: set[tuple[str, str]] = field(default_factory=set)
-    asked: set[tuple[str, str]] = field(default_factory=set)
+    attempted: set[tuple[str, str]] = field(default_factory=set)
     unseen: list[str] = field(default_factory=list)
     mixed: list[str] = field(default_factory=list)
     answers: Counter[str] = field(default_factory=Counter)
@@ -58,10 +58,10 @@
     def note(self, group: str, entry: str, answer: CallerAnswer) -> None:
         """Keep what was said of an entry that was asked for once."""
         with self.lock:
-            self.asked.add((group, entry))
+            self.attempted.add((group, entry))
             self.answers[f"{answer.outcome}:{answer.reason}"] += 1
             if answer.done:
-                self.done.add((group, entry))
+                self.acknowledged.add((group, entry))
             elif answer.outcome in ("not_run", "overloaded"):
                 self.not_run.add((group, entry))
 
@@ -75,19 +75,19 @@
     """One caller with one session."""
 
     def __init__(
-        self, *, number: int, fleet: Fleet, books: Books, seed: int
+        self, *, number: int, fleet: Fleet, books: AnswerLog, seed: int
     ) -> None:
         super().__init__(daemon=True)
         self.number = number
         self.books = books
         self.stop = threading.Event()
         self.random = random.Random(f"{seed}/{number}")
-        self.groups = fleet.estate.groups
+        self.groups = fleet.topology.groups
         self.caller = Caller(
             entries=fleet.entries(),
             name=f"soak-{number}",
             deadline_ms=DEADLINE_MS,
-            at=number,
+            entry_index=number,
         )
 
     def run(self) -> None:
@@ -126,9 +126,9 @@
             self.back_off(answer)
             self.caller.roam()
         with self.books.lock:
-            self.books.asked.add((group, entry))
+            self.books.attempted.add((group, entry))
             if answer.done:
-                self.books.done.add((group, entry))
+                self.books.acknowledged.add((group, entry))
         if answer.done:
             self.read_back(group, entry)
 
@@ -227,7 +227,7 @@
                 "lose-unsent",
             )
         )
-        group = self.random.choice(self.fleet.estate.groups)
+        group = self.random.choice(self.fleet.topology.groups)
         vm = self.random.choice(sorted(self.fleet.vms))
         if kind.endswith("primary"):
             name = self.primary(group) or f"{group}-m1"
@@ -249,14 +249,14 @@
                 fleet.freeze(name)
                 return lambda: fleet.thaw(name)
             case "cut-primary":
-                fleet.link(f"target:{name}", "cut")
-                return lambda: fleet.link(f"target:{name}", "pass")
+                fleet.set_link_mode(f"target:{name}", "cut")
+                return lambda: fleet.set_link_mode(f"target:{name}", "pass")
             case "cut-vm":
-                fleet.link(f"peers:{name}", "cut")
-                return lambda: fleet.link(f"peers:{name}", "pass")
+                fleet.set_link_mode(f"peers:{name}", "cut")
+                return lambda: fleet.set_link_mode(f"peers:{name}", "pass")
             case "silent-target":
-                fleet.link(f"target:{name}", "silent")
-                return lambda: fleet.link(f"target:{name}", "pass")
+                fleet.set_link_mode(f"target:{name}", "silent")
+                return lambda: fleet.set_link_mode(f"target:{name}", "pass")
             case "platform-down":
                 fleet.set_platform_faults(outage="refuse")
                 return lambda: fleet.set_platform_faults(outage="none")
@@ -314,11 +314,11 @@
         return lambda: self.quietly(name, apply_lag_ms=0)
 
 
-def check_books(fleet: Fleet, books: Books) -> list[str]:
+def check_answers(fleet: Fleet, books: AnswerLog) -> list[str]:
     """Return what is wrong, comparing answers with each group's primary."""
     wrong = [f"own write not seen: {each}" for each in books.unseen]
     wrong += [f"transactions mixed: {each}" for each in books.mixed]
-    for group in fleet.estate.groups:
+    for group in fleet.topology.groups:
         primary = fleet.primary(group)
         found = Counter(
             row[0] for row in fleet.query(primary, "SELECT id FROM soak_entry")
@@ -332,16 +332,16 @@
     return wrong
 
 
-def _compare(group: str, found: Counter[str], books: Books) -> list[str]:
+def _compare(group: str, found: Counter[str], books: AnswerLog) -> list[str]:
     wrong = []
     for entry, count in found.items():
         if count > 1:
             wrong.append(f"{group} {entry}: there {count} times")
         if (group, entry) in books.not_run:
             wrong.append(f"{group} {entry}: said not run, but it ran")
-        if (group, entry) not in books.asked:
+        if (group, entry) not in books.attempted:
             wrong.append(f"{group} {entry}: nobody asked for it")
-    for other, entry in books.done:
+    for other, entry in books.acknowledged:
         if other == group and entry not in found:
             wrong.append(f"{group} {entry}: acknowledged, but not there")
     return wrong
@@ -350,7 +350,7 @@
 def _prepare(fleet: Fleet) -> None:
     fleet.wait_serving()
     caller = Caller(entries=fleet.entries(), name="setup", deadline_ms=5000)
-    for group in fleet.estate.groups:
+    for group in fleet.topology.groups:
         rows = ", ".join(
             f"({number}, {OPENING_BALANCE})" for number in range(ACCOUNTS)
         )
@@ -362,7 +362,7 @@
 
 def _settled(fleet: Fleet) -> bool:
     caller = Caller(entries=fleet.entries(), name="settle")
-    for group in fleet.estate.groups:
+    for group in fleet.topology.groups:
         if not fleet.primary(group):
             raise ValueError(f"{group} has no primary")
         answer = caller.write(group, "UPDATE soak_account SET id = id")
@@ -372,14 +372,18 @@
 
 
 def run_soak(
-    *, seconds: float, seed: int, workers: int = 8, planned: bool = False
-) -> tuple[Books, list[str], list[str]]:
+    *,
+    seconds: float,
+    seed: int,
+    workers: int = 8,
+    with_operators: bool = False,
+) -> tuple[AnswerLog, list[str], list[str]]:
     """Run it; return what was told, the faults, and what is wrong.
 
     With `planned`, operators edit the table and restart VMs meanwhile.
     """
-    books = Books()
-    with Fleet(estate=CARPATICA, links=True, bootstrap=False) as fleet:
+    books = AnswerLog()
+    with Fleet(topology=CARPATICA, links=True, bootstrap=False) as fleet:
         _prepare(fleet)
         threads = [
             _Worker(number=number, fleet=fleet, books=books, seed=seed)
@@ -391,7 +395,7 @@
             fleet=fleet, seed=seed, end=time.monotonic() + seconds
         )
         work: PlannedWork | None = None
-        if planned:
+        if with_operators:
             work = PlannedWork(
                 fleet=fleet, seed=seed, restarting=faults.restarting
             )
@@ -409,7 +413,7 @@
                 seconds=SETTLE_SECONDS,
                 what="all groups to take writes again",
             )
-            wrong = check_books(fleet, books)
+            wrong = check_answers(fleet, books)
             if work is not None:
                 books.answers.update(work.verdicts)
                 wrong += work.check()
@@ -430,12 +434,14 @@
     )
     args = parser.parse_args()
     books, history, wrong = run_soak(
-        seconds=args.seconds, seed=args.seed, planned=args.planned
+        seconds=args.seconds, seed=args.seed, with_operators=args.planned
     )
     print("faults:", "; ".join(history))
     for name, count in sorted(books.answers.items()):
         print(f"{count:8d} {name}")
-    print(f"{len(books.done)} acknowledged, {len(books.not_run)} not run")
+    print(
+        f"{len(books.acknowledged)} acknowledged, {len(books.not_run)} not run"
+    )
     for each in wrong[:20]:
         print("WRONG", each)
     sys.exit(1 if wrong else 0)
--- a/bamboospring/testing/target.py
+++ b/bamboospring/testing/target.py
@@ -13,7 +13,7 @@
 import asyncio
 from pathlib import Path
 
-from bamboospring.testing.loop_watch import watch_loop
+from bamboospring.testing.loop_monitor import watch_loop
 from bamboospring.testing.target_engine import Engine
 from bamboospring.testing.target_engine import Knobs
 from bamboospring.testing.target_replication import Replication
--- a/bamboospring/testing/estate.py
+++ b/bamboospring/testing/topology.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["CARPATICA", "Estate", "MALABAR", "SMALL"]
+__all__ = ["CARPATICA", "Topology", "MALABAR", "SMALL"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Estate:
+class Topology:
     """Sizes and places of one estate.
 
     `slots` and `connections` hold for each target, `connect_ms` is what a
@@ -30,8 +30,8 @@
     receive_lag_ms: int = 0
     sites: tuple[str, ...] = ("old", "new")
     region: str = "region-1"
-    far_region: str = "region-2"
-    far: tuple[str, ...] = ()
+    remote_region: str = "region-2"
+    remote_names: tuple[str, ...] = ()
     schema: str = ""
 
     def zone(self, number: int) -> str:
@@ -40,16 +40,16 @@
 
     def region_of(self, name: str) -> str:
         """Return the region of a VM or target."""
-        return self.far_region if name in self.far else self.region
+        return self.remote_region if name in self.remote_names else self.region
 
 
-CARPATICA = Estate(
+CARPATICA = Topology(
     name="carpatica",
     groups=("baze-comutare-1", "baze-comutare-2", "baze-comutare-3"),
     zones=("hala-pipera", "hala-militari", "hala-berceni", "hala-otopeni"),
 )
 
-MALABAR = Estate(
+MALABAR = Topology(
     name="malabar",
     groups=("loc-core-1", "loc-core-2", "loc-core-3"),
     zones=("kochi", "tvm", "kozhikode"),
@@ -57,7 +57,7 @@
     connections=35,
 )
 
-SMALL = Estate(
+SMALL = Topology(
     name="small",
     groups=("ledger",),
     zones=("zone-a", "zone-b", "zone-c"),
--- a/bench/edit_spread.py
+++ b/bench/edit_spread.py
@@ -25,9 +25,9 @@
 
 from bamboospring.rendezvous import shard_of
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import CARPATICA
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import OPERATOR_TOKEN
+from bamboospring.testing.topology import CARPATICA
 
 GROUP = CARPATICA.groups[0]
 CALLERS = 8
@@ -102,7 +102,7 @@
 
 def work(fleet: Fleet, at: int, stop: threading.Event) -> None:
     """Read all the time through all VMs."""
-    caller = Caller(entries=fleet.entries(), at=at)
+    caller = Caller(entries=fleet.entries(), entry_index=at)
     while not stop.is_set():
         caller.roam()
         caller.read(GROUP, "SELECT 1")
@@ -115,7 +115,7 @@
     parser.add_argument("--out", default="")
     options = parser.parse_args()
     results = {}
-    with Fleet(estate=CARPATICA) as fleet:
+    with Fleet(topology=CARPATICA) as fleet:
         fleet.wait_serving()
         time.sleep(3)
         results["idle"] = measure(fleet, options.edits)
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -29,9 +29,9 @@
 from typing import Any
 
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import wait_until
+from bamboospring.testing.topology import SMALL
 
 GROUP = "ledger"
 SCHEMA = "CREATE TABLE entries (id INTEGER PRIMARY KEY, body TEXT);"
@@ -69,7 +69,7 @@
 
     def _run(self, place: int) -> None:
         caller = Caller(
-            entries=self._fleet.entries(), at=place, deadline_ms=5000
+            entries=self._fleet.entries(), entry_index=place, deadline_ms=5000
         )
         while not self._stop.is_set():
             row = next(self._numbers)
@@ -119,7 +119,7 @@
     """Return the kinds of faults by name."""
 
     def link(fleet: Fleet, target: str, mode: str) -> None:
-        fleet.link(f"target:{target}", mode, delay_ms=delay_ms)
+        fleet.set_link_mode(f"target:{target}", mode, delay_ms=delay_ms)
 
     normal = "delay" if delay_ms else "pass"
     return {
@@ -145,7 +145,7 @@
     fault = faults(args.delay_ms)[kind]
     load = os.getloadavg()[0]
     estate = replace(SMALL, schema=SCHEMA)
-    with Fleet(estate=estate, links=True, vms=args.vms) as fleet:
+    with Fleet(topology=estate, links=True, vms=args.vms) as fleet:
         fleet.wait_serving()
         delay_links(fleet, args.delay_ms)
         writers = Writers(fleet)
@@ -172,7 +172,7 @@
     names += [f"peers:{name}" for name in fleet.vms]
     names += [f"platform:{name}" for name in fleet.vms]
     for name in names:
-        fleet.link(name, "delay", delay_ms=delay_ms)
+        fleet.set_link_mode(name, "delay", delay_ms=delay_ms)
 
 
 def run_once(fleet: Fleet, writers: Writers, fault: Fault) -> dict[str, float]:
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -68,8 +68,10 @@
     names = list(fleet.vms)
     holder = fleet.holders(support.GROUP)[0]
     other = fleet.not_holders(support.GROUP)[0]
-    at_holder = Caller(entries=fleet.entries(), at=names.index(holder))
-    at_entry = Caller(entries=fleet.entries(), at=names.index(other))
+    at_holder = Caller(
+        entries=fleet.entries(), entry_index=names.index(holder)
+    )
+    at_entry = Caller(entries=fleet.entries(), entry_index=names.index(other))
     ways = {
         "direct": direct.read,
         "holder": lambda: through(at_holder),
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -73,7 +73,7 @@
 
 def measure(kind: type[Fleet], *, apart: bool = False) -> dict[str, Any]:
     fleet = kind(
-        estate=support.estate(
+        topology=support.estate(
             slots=SLOTS, connections=40, statement_ms=STATEMENT_MS
         ),
         vms=6 if apart else 3,
--- a/bench/platform_calls.py
+++ b/bench/platform_calls.py
@@ -15,8 +15,8 @@
 import time
 from typing import Any
 
-from bamboospring.testing.estate import CARPATICA
 from bamboospring.testing.fleet import Fleet
+from bamboospring.testing.topology import CARPATICA
 
 PLATFORM = "platform"
 CALM_SECONDS = 60
@@ -63,7 +63,7 @@
     parser.add_argument("--out", default="")
     options = parser.parse_args()
     results = {}
-    with Fleet(estate=CARPATICA) as fleet:
+    with Fleet(topology=CARPATICA) as fleet:
         fleet.wait_serving()
         time.sleep(5)
         results["calm"] = rates(fleet, CALM_SECONDS)
--- a/bench/replica_share.py
+++ b/bench/replica_share.py
@@ -37,9 +37,9 @@
 
 from bamboospring.rendezvous import shard_of
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import MALABAR
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import wait_until
+from bamboospring.testing.topology import MALABAR
 
 GROUP = MALABAR.groups[0]
 VMS = 3
@@ -148,7 +148,7 @@
         self._name = f"caller-{number}"
         self._writes = number < WRITERS
         self._caller = Caller(
-            entries=fleet.entries(), name=self._name, at=number
+            entries=fleet.entries(), name=self._name, entry_index=number
         )
         self._direct: DirectReader | None = None
         if policy == "random":
@@ -317,7 +317,7 @@
     """Measure each policy under each condition in one fleet."""
     estate = replace(MALABAR, groups=(GROUP,), schema=SCHEMA)
     scores = []
-    with Fleet(estate=estate, vms=VMS) as fleet:
+    with Fleet(topology=estate, vms=VMS) as fleet:
         fleet.wait_serving()
         for condition in CONDITIONS:
             prepare(fleet, condition)
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -26,8 +26,8 @@
 from failover import stored_rows
 from failover import Writers
 
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
+from bamboospring.testing.topology import SMALL
 
 PAUSE = 5.0
 
@@ -53,7 +53,7 @@
     chances = random.Random(args.seed)
     counts: Counter[str] = Counter()
     with Fleet(
-        estate=replace(SMALL, schema=SCHEMA), links=True, vms=args.vms
+        topology=replace(SMALL, schema=SCHEMA), links=True, vms=args.vms
     ) as fleet:
         fleet.wait_serving()
         delay_links(fleet, 1)
@@ -93,14 +93,14 @@
         fleet.thaw(vm)
 
     def silence() -> None:
-        fleet.link(f"target:{target}", "silent")
+        fleet.set_link_mode(f"target:{target}", "silent")
         time.sleep(1)
-        fleet.link(f"target:{target}", "delay", delay_ms=1)
+        fleet.set_link_mode(f"target:{target}", "delay", delay_ms=1)
 
     def slow_link() -> None:
-        fleet.link(f"target:{target}", "delay", delay_ms=100)
+        fleet.set_link_mode(f"target:{target}", "delay", delay_ms=100)
         time.sleep(2)
-        fleet.link(f"target:{target}", "delay", delay_ms=1)
+        fleet.set_link_mode(f"target:{target}", "delay", delay_ms=1)
 
     def slow_platform() -> None:
         fleet.set_platform_faults(slow_ms=400)
--- a/bench/statement_cost.py
+++ b/bench/statement_cost.py
@@ -23,8 +23,8 @@
 from fits import fit
 
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
+from bamboospring.testing.topology import SMALL
 
 GROUP = "ledger"
 SCHEMA = """
@@ -49,7 +49,7 @@
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
     estate = dataclasses.replace(SMALL, schema=SCHEMA, slots=9)
-    with Fleet(estate=estate, vms=4) as fleet:
+    with Fleet(topology=estate, vms=4) as fleet:
         fleet.wait_serving()
         result: dict[str, Any] = {
             kind: _measure(fleet, kind) for kind in RATES
--- a/bench/support.py
+++ b/bench/support.py
@@ -14,10 +14,10 @@
 import time
 from typing import Any
 
-from bamboospring.testing.estate import Estate
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import call_json
 from bamboospring.testing.fleet import Fleet
+from bamboospring.testing.topology import SMALL
+from bamboospring.testing.topology import Topology
 
 RESULTS = Path(__file__).parent / "results"
 GROUP = "ledger"
@@ -30,14 +30,14 @@
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
-def estate(**changes: Any) -> Estate:
+def estate(**changes: Any) -> Topology:
     """Return one group of three members with a small table."""
     return dataclasses.replace(SMALL, schema=SCHEMA, **changes)
 
 
 def start(vms: int = 3, settings: Any = None, **changes: Any) -> Fleet:
     """Start a fleet and wait until it serves."""
-    fleet = Fleet(estate=estate(**changes), vms=vms, settings=settings)
+    fleet = Fleet(topology=estate(**changes), vms=vms, settings=settings)
     fleet.start()
     fleet.wait_serving()
     return fleet
--- a/bench/workers.py
+++ b/bench/workers.py
@@ -86,7 +86,7 @@
 def measure_throughput(rounds: int, seconds: float) -> dict[str, Any]:
     """Return statements a second by number of entry-only processes."""
     with Fleet(
-        estate=estate(slots=60, connections=120), vms=4, settings=SETTINGS
+        topology=estate(slots=60, connections=120), vms=4, settings=SETTINGS
     ) as fleet:
         fleet.wait_serving()
         vm = fleet.not_holders(GROUP)[0]
@@ -177,7 +177,7 @@
         while time.monotonic() < end:
             done[number] += caller.read(GROUP, READ).done
             if done[number] % 50 == 0:
-                caller.keep_only([])
+                caller.close_connections_except([])
 
     threads = [
         threading.Thread(target=work, args=(number,), daemon=True)
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -22,8 +22,8 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Overloaded
-from bamboospring.platform.entries import read_catalog
-from bamboospring.platform.lines import key_digest
+from bamboospring.platform.line_protocol import key_digest
+from bamboospring.platform.store_objects import read_catalog
 from bamboospring.platform_client import WRITTEN_AGAIN
 from bamboospring.pool import LeasedConnection
 from bamboospring.pool import PoolTiming
@@ -49,9 +49,9 @@
 from bamboospring.target_link import Opened
 from bamboospring.target_link import OpenFailed
 from bamboospring.testing.session_callers import SessionCaller
+from bamboospring.testing.session_checker import TeamLimits
 from bamboospring.testing.session_fleet import FleetTeam
 from bamboospring.testing.session_fleet import SessionFleet
-from bamboospring.testing.session_judge import TeamLimits
 from bamboospring.testing.session_platform import StoreFaults
 from features.steps.session_estate_steps import Stage
 from features.steps.session_texts_steps import FakeChannel
@@ -657,7 +657,7 @@
                 number=number,
                 routes=fleet.routes(),
                 addresses=fleet.addresses,
-                judge=fleet.judge,
+                judge=fleet.checker,
                 seed=11,
                 pause=0.0 if number >= callers else 0.02,
                 keys=fleet.caller_keys(
@@ -685,7 +685,7 @@
 
     async def act() -> None:
         await asyncio.sleep(seconds)
-        fleet.store.faults = StoreFaults(down="silent")
+        fleet.store.faults = StoreFaults(outage="silent")
         fleet.remove_key("bank-key-gone")
         await asyncio.sleep(4.0)
         fleet.store.faults = StoreFaults()
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -133,7 +133,8 @@
 def when_at_once(context: Any, count: int, vms: int) -> None:
     entries = context.fleet.entries()
     callers = [
-        Caller(entries=entries, at=at, deadline_ms=8000) for at in range(vms)
+        Caller(entries=entries, entry_index=at, deadline_ms=8000)
+        for at in range(vms)
     ]
     for caller in callers:
         caller.open()
@@ -176,7 +177,9 @@
     end = time.monotonic() + GIVE_UP
 
     def work(number: int) -> list[CallerAnswer]:
-        caller = Caller(entries=fleet.entries(), at=number, deadline_ms=1500)
+        caller = Caller(
+            entries=fleet.entries(), entry_index=number, deadline_ms=1500
+        )
         answers = []
         for row in range(rows):
             key = f"caller {number} row {row}"
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -12,13 +12,13 @@
 from behave import then
 from behave import when
 import configuration_properties
-from configuration_support import ForceObserver
 from configuration_support import GROUP
 from configuration_support import Load
 from configuration_support import Operator
 from configuration_support import run_table_command
 from configuration_support import same_shard_names
 from configuration_support import start_estate
+from configuration_support import TableVersionObserver
 import editor_properties
 
 from bamboospring.blackboard import Vm
@@ -47,7 +47,7 @@
 @given("a fleet of {count:d} VMs whose versions in force are observed")
 def given_observed(context: Any, count: int) -> None:
     fleet = start_estate(context, vms=count)
-    context.observer = ForceObserver(fleet)
+    context.observer = TableVersionObserver(fleet)
     context.add_cleanup(context.observer.stop)
     context.edits = []
     context.turn = 0
@@ -300,7 +300,7 @@
         context.turn += 1
         vm = names[context.turn % len(names)]
         operator = Operator(fleet=context.fleet, vm=vm)
-        report = operator.set(GROUP, max_staleness_ms=context.turn)
+        report = operator.edit_accepted(GROUP, max_staleness_ms=context.turn)
         context.edits.append(max(report["versions"].values()))
         context.observer.wait_everywhere(
             SHARD, context.edits[-1], names, FORCE_SECONDS
@@ -363,7 +363,7 @@
             name=vm.name,
             address=vm.peers,
             availability_zone=vm.zone,
-            region=fleet.estate.region,
+            region=fleet.topology.region,
         )
         for vm in fleet.vms.values()
     ]
@@ -419,7 +419,7 @@
     operator = Operator(fleet=context.fleet, vm="vm-1")
     for new in (25, 50, 75, 100):
         weights = {"old": 100 - new, "new": new}
-        operator.set(GROUP, read_weights=weights)
+        operator.edit_accepted(GROUP, read_weights=weights)
         time.sleep(1.0)
 
 
@@ -427,7 +427,7 @@
 def when_writes_shift(context: Any) -> None:
     time.sleep(1)
     operator = Operator(fleet=context.fleet, vm="vm-1")
-    operator.set(GROUP, write_weights={"old": 0, "new": 100})
+    operator.edit_accepted(GROUP, write_weights={"old": 0, "new": 100})
 
 
 @then("within {seconds:d} s the primary is at the new site")
@@ -456,7 +456,7 @@
     sites = {target.name: target.site for target in fleet.members(GROUP)}
     before = {name: executed(fleet, name) for name in sites}
     for at in range(30):
-        caller = Caller(entries=fleet.entries(), at=at)
+        caller = Caller(entries=fleet.entries(), entry_index=at)
         answer = caller.read(GROUP, "SELECT 1", staleness_ms=5000)
         assert answer.done, answer
     served = {
--- a/features/steps/configuration_support.py
+++ b/features/steps/configuration_support.py
@@ -16,15 +16,15 @@
 
 from bamboospring.rendezvous import shard_of
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import Estate
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import OPERATOR_TOKEN
-from bamboospring.testing.operator import ForceObserver
 from bamboospring.testing.operator import Operator
+from bamboospring.testing.operator import TableVersionObserver
+from bamboospring.testing.topology import SMALL
+from bamboospring.testing.topology import Topology
 
 __all__ = [
-    "ForceObserver",
+    "TableVersionObserver",
     "GROUP",
     "Load",
     "Operator",
@@ -51,9 +51,9 @@
     **changes: Any,
 ) -> Fleet:
     """Start a fleet behind links that ends with the scenario."""
-    estate: Estate = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
+    estate: Topology = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
     fleet = Fleet(
-        estate=estate,
+        topology=estate,
         links=True,
         vms=vms,
         settings=settings or {},
@@ -107,13 +107,15 @@
     def _work(self, number: int) -> None:
         # The very list, if one is given: it changes as VMs come and go.
         entries = self.entries or self.fleet.entries()
-        caller = Caller(entries=entries, name=f"load-{number}", at=number)
+        caller = Caller(
+            entries=entries, name=f"load-{number}", entry_index=number
+        )
         for turn in itertools.count():
             if self._stop.wait(self.pause):
                 break
             # A connection to a VM that has left the balancer's list is not
             # kept for its return: by then its other end is another process.
-            caller.keep_only(list(entries))
+            caller.close_connections_except(list(entries))
             caller.roam()
             try:
                 self._one(caller, turn, self.hold == 0 or number == 0)
--- a/features/steps/double_faults_steps.py
+++ b/features/steps/double_faults_steps.py
@@ -114,7 +114,7 @@
     steward = group_value(context)["steward"].split("/")[0]
     context.editor = next(vm for vm in context.fleet.vms if vm != steward)
     operator = Operator(fleet=context.fleet, vm=context.editor)
-    report = operator.set(GROUP, max_staleness_ms=45_000)
+    report = operator.edit_accepted(GROUP, max_staleness_ms=45_000)
     context.version = max(report["versions"].values())
 
 
--- a/features/steps/fleet_support.py
+++ b/features/steps/fleet_support.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import Estate
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import call_json
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import wait_until
+from bamboospring.testing.topology import SMALL
+from bamboospring.testing.topology import Topology
 
 __all__ = [
     "GROUP",
@@ -39,8 +39,8 @@
     **changes: Any,
 ) -> Fleet:
     """Start a fleet behind links that ends with the scenario."""
-    estate: Estate = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
-    fleet = Fleet(estate=estate, links=True, vms=vms, rows=rows)
+    estate: Topology = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
+    fleet = Fleet(topology=estate, links=True, vms=vms, table_rows=rows)
     context.fleet = fleet
     context.add_cleanup(fleet.close)
     fleet.start()
@@ -51,7 +51,9 @@
 def caller_at(fleet: Fleet, vm: str, **options: Any) -> Caller:
     """Return a new caller that works through one VM at first."""
     names = list(fleet.vms)
-    return Caller(entries=fleet.entries(), at=names.index(vm), **options)
+    return Caller(
+        entries=fleet.entries(), entry_index=names.index(vm), **options
+    )
 
 
 def in_threads(works: list[Callable[[], Any]]) -> list[Any]:
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -20,9 +20,9 @@
 
 from bamboospring.connections import ConnectionTiming
 from bamboospring.connections import ConnectionTracker
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import wait_until
+from bamboospring.testing.topology import SMALL
 
 READ = "SELECT COUNT(*) FROM entries"
 WRITE = "INSERT INTO entries (body) VALUES (?)"
@@ -98,7 +98,7 @@
 def begin_fleet(context: Any, vms: int, **options: Any) -> Fleet:
     changes = options.pop("estate", {})
     estate = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
-    fleet = Fleet(estate=estate, vms=vms, **options)
+    fleet = Fleet(topology=estate, vms=vms, **options)
     context.fleet = fleet
     context.add_cleanup(fleet.close)
     fleet.start()
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -110,7 +110,7 @@
 def when_replica_leaves(context: Any) -> None:
     context.replica = context.fleet.replicas(GROUP)[0]
     operator = Operator(fleet=context.fleet, vm="vm-1")
-    operator.set(GROUP, leaving_targets=[context.replica])
+    operator.edit_accepted(GROUP, leaving_targets=[context.replica])
 
 
 @then("after {seconds:d} s the replica gets no more statements")
@@ -135,7 +135,7 @@
             name=vm.name,
             address=vm.peers,
             availability_zone=vm.zone,
-            region=fleet.estate.region,
+            region=fleet.topology.region,
             liveness=(
                 Liveness.LEAVING if vm.name == leaving else Liveness.LIVE
             ),
@@ -240,7 +240,7 @@
     fleet = context.fleet
     entries = [vm.entry for vm in fleet.vms.values() if vm.name != context.vm]
     for number in range(count):
-        caller = Caller(entries=entries, at=number)
+        caller = Caller(entries=entries, entry_index=number)
         sql = "INSERT INTO entries (body) VALUES ('x')"
         answer = (
             caller.write(GROUP, sql)
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -24,11 +24,11 @@
 from fleet_support import SCHEMA
 
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import OPERATOR_TOKEN
 from bamboospring.testing.fleet import TOKEN_KEYS
 from bamboospring.testing.fleet import wait_until
+from bamboospring.testing.topology import SMALL
 
 KEYS = Path(__file__).resolve().parents[1] / "data" / "tls"
 NEW_TOKEN = "the-operators-next-token"
@@ -46,7 +46,7 @@
     serving: bool = True,
 ) -> None:
     estate = dataclasses.replace(SMALL, schema=SCHEMA)
-    fleet = Fleet(estate=estate, settings=settings, vms=vms)
+    fleet = Fleet(topology=estate, settings=settings, vms=vms)
     context.fleet = fleet
     context.add_cleanup(fleet.close)
     fleet.start()
--- a/features/steps/outward_tls_steps.py
+++ b/features/steps/outward_tls_steps.py
@@ -20,10 +20,10 @@
 from fleet_support import SCHEMA
 
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import call_json
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.fleet import OPERATOR_TOKEN
+from bamboospring.testing.topology import SMALL
 
 KEYS = Path(__file__).resolve().parents[1] / "data" / "tls"
 PATIENCE = 5.0
@@ -115,10 +115,10 @@
         "authority": str(KEYS / "authority.pem"),
     }
     fleet = Fleet(
-        estate=dataclasses.replace(SMALL, schema=SCHEMA),
+        topology=dataclasses.replace(SMALL, schema=SCHEMA),
         vms=3,
         settings={"platform": {"tls": tls}, "targets": {"tls": tls}},
-        relay=context.relays.add,
+        map_address=context.relays.add,
     )
     context.fleet = fleet
     context.add_cleanup(fleet.close)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -11,11 +11,11 @@
 from behave import then
 from behave import when
 from configuration_steps import add_seeds
-from configuration_support import ForceObserver
 from configuration_support import GROUP
 from configuration_support import Load
 from configuration_support import Operator
 from configuration_support import start_estate
+from configuration_support import TableVersionObserver
 from hypothesis import given as generated
 from hypothesis import settings
 from hypothesis import strategies
@@ -97,14 +97,14 @@
 
 @then("an edit is accepted and in force on all VMs within {seconds:d} s")
 def then_edit(context: Any, seconds: int) -> None:
-    observer = ForceObserver(context.fleet)
+    observer = TableVersionObserver(context.fleet)
     context.add_cleanup(observer.stop)
     operator = Operator(fleet=context.fleet, vm="vm-2")
     end = time.monotonic() + seconds
-    report = operator.set(GROUP, max_staleness_ms=777)
+    report = operator.edit_accepted(GROUP, max_staleness_ms=777)
     left = end - time.monotonic()
     (version,) = report["versions"].values()
-    observer.wait_everywhere(SHARD, version, context.fleet.vms, left)
+    observer.wait_in_force(SHARD, version, context.fleet.vms, left)
     observer.stop()
 
 
--- a/features/steps/primary_change_support.py
+++ b/features/steps/primary_change_support.py
@@ -51,7 +51,9 @@
             thread.start()
 
     def _run(self, place: int) -> None:
-        caller = Caller(entries=self._entries, at=place, deadline_ms=2000)
+        caller = Caller(
+            entries=self._entries, entry_index=place, deadline_ms=2000
+        )
         while not self._stop.is_set():
             row = next(self._rows)
             record = self._write(caller, row)
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -78,7 +78,7 @@
 
 def _fresh(caller: Caller) -> Caller:
     """Go on over a new connection, which either process may get."""
-    caller.keep_only([])
+    caller.close_connections_except([])
     return caller
 
 
@@ -200,7 +200,7 @@
 def when_edited(context: Any) -> None:
     operator = Operator(fleet=context.fleet, vm="vm-2")
     context.edits += 1
-    operator.set(GROUP, max_staleness_ms=1000 + context.edits)
+    operator.edit_accepted(GROUP, max_staleness_ms=1000 + context.edits)
     shards = operator.in_force()["shards"]
     context.version = shards[str(shard_of(GROUP))]
 
--- a/features/steps/regions_steps.py
+++ b/features/steps/regions_steps.py
@@ -23,8 +23,8 @@
 from bamboospring.rendezvous import choose_candidates
 from bamboospring.rendezvous import shard_of
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.fleet import FAR
-from bamboospring.testing.fleet import NEAR
+from bamboospring.testing.fleet import LOCAL_REGION_ADDRESS
+from bamboospring.testing.fleet import REMOTE_REGION_ADDRESS
 from bamboospring.testing.fleet import wait_until
 
 WRITE = "INSERT INTO entries VALUES (?, 'x')"
@@ -86,7 +86,7 @@
             link,
             mode,
             direction=by_near if away else by_far,
-            source=NEAR if away else FAR,
+            source=LOCAL_REGION_ADDRESS if away else REMOTE_REGION_ADDRESS,
         )
     for name in FAR_VMS:
         fleet.link(f"platform:{name}", mode, direction=by_far)
@@ -189,7 +189,7 @@
 @when("an operator edits the table in the near region")
 def edit_near(context: Any) -> None:
     operator = Operator(fleet=context.fleet, vm="vm-1")
-    report = operator.set(GROUP, max_staleness_ms=90_000)
+    report = operator.edit_accepted(GROUP, max_staleness_ms=90_000)
     context.version = max(report["versions"].values())
 
 
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -193,7 +193,9 @@
     context.add_cleanup(stop.set)
 
     def work(number: int) -> None:
-        caller = Caller(entries=fleet.entries(), at=number, name=f"w{number}")
+        caller = Caller(
+            entries=fleet.entries(), entry_index=number, name=f"w{number}"
+        )
         while not stop.is_set():
             caller.write(GROUP, "INSERT INTO entries (body) VALUES ('x')")
 
--- a/features/steps/session_estate_steps.py
+++ b/features/steps/session_estate_steps.py
@@ -70,7 +70,7 @@
 @when("after {after:d} s the store is down for {seconds:d} s")
 def when_down(context, after, seconds):
     async def down():
-        context.stage.fleet.store.faults = StoreFaults(down="busy")
+        context.stage.fleet.store.faults = StoreFaults(outage="busy")
         await asyncio.sleep(seconds)
         context.stage.fleet.store.faults = StoreFaults()
 
@@ -363,7 +363,7 @@
 )
 def when_returns(context, seconds, seed):
     context.result = asyncio.run(
-        run_session_soak(seed=seed, seconds=seconds, returns=True)
+        run_session_soak(seed=seed, seconds=seconds, restore_store=True)
     )
     print("faults:", "; ".join(context.result.history))
     print("outcomes:", context.result.outcomes)
--- a/features/steps/session_stage.py
+++ b/features/steps/session_stage.py
@@ -9,7 +9,7 @@
 
 from bamboospring.testing.session_callers import SessionCaller
 from bamboospring.testing.session_fleet import SessionFleet
-from bamboospring.testing.session_members import MemberKnobs
+from bamboospring.testing.session_members import MemberSettings
 
 __all__ = ["Stage", "act", "crash"]
 
@@ -23,8 +23,10 @@
             target=self.loop.run_forever, daemon=True
         )
         self.thread.start()
-        knobs = MemberKnobs(connections=connections)
-        self.fleet = SessionFleet(vms=vms, groups=groups, knobs=knobs, seed=3)
+        knobs = MemberSettings(connections=connections)
+        self.fleet = SessionFleet(
+            vms=vms, groups=groups, member_settings=knobs, seed=3
+        )
         self.outcomes = Counter()
         self.acts = []
         self.seconds = 0.0
@@ -57,7 +59,7 @@
                 number=number,
                 routes=fleet.routes(),
                 addresses=fleet.addresses,
-                judge=fleet.judge,
+                judge=fleet.checker,
                 seed=5,
             )
             for number in range(len(self.callers))
@@ -68,7 +70,7 @@
         self.late_before = self._writes()
         await asyncio.gather(*work, *acts)
         self.late_writes = self._writes() - self.late_before
-        fleet.judge.check_orders(fleet.desk.orders)
+        fleet.checker.check_promotions(fleet.promotion_service.orders)
         for worker in workers:
             self.outcomes.update(worker.outcomes)
 
@@ -91,7 +93,7 @@
 
     def _leads(self, group):
         members = self.fleet.groups[group].members.values()
-        return any(m.leads for m in members)
+        return any(m.is_primary for m in members)
 
 
 def act(context, after, what):
--- a/features/steps/session_texts_steps.py
+++ b/features/steps/session_texts_steps.py
@@ -15,13 +15,13 @@
 from bamboospring import logs
 from bamboospring.object_store import Found
 from bamboospring.object_store import HistoryLost
-from bamboospring.platform.caller_lines import CallerServer
-from bamboospring.platform.caller_lines import read_statement
-from bamboospring.platform.entries import read_target
-from bamboospring.platform.lines import LineBuffer
-from bamboospring.platform.lines import LineTooLong
-from bamboospring.platform.lines import MAX_LINE
-from bamboospring.platform.store import StoreDialect
+from bamboospring.platform.caller_server import CallerServer
+from bamboospring.platform.caller_server import parse_statement
+from bamboospring.platform.line_protocol import LineDecoder
+from bamboospring.platform.line_protocol import LineTooLong
+from bamboospring.platform.line_protocol import MAX_LINE_BYTES
+from bamboospring.platform.store_dialect import StoreDialect
+from bamboospring.platform.store_objects import read_target
 from bamboospring.platform_watch import KindWatch
 from bamboospring.sessions.model import Catalog
 from bamboospring.sessions.model import Freshness
@@ -147,14 +147,14 @@
 @when("it is asked to {text}")
 def when_asked(context, text):
     context.sent_before = len(context.channel.answers)
-    context.session.submit("id", read_statement(text))
+    context.session.submit("id", parse_statement(text))
     context.reactor.move(0)
 
 
 @when("it is sent READ a, SET x 1 and READ b at once")
 def when_sent(context):
     for text in ("READ a", "SET x 1", "READ b"):
-        context.session.submit("id", read_statement(text))
+        context.session.submit("id", parse_statement(text))
     context.reactor.move(0)
 
 
@@ -184,7 +184,7 @@
 
 @when("a write that was on its way comes")
 def when_crossing(context):
-    context.session.submit("id", read_statement("WRITE a 1"))
+    context.session.submit("id", parse_statement("WRITE a 1"))
     context.reactor.move(0)
 
 
@@ -250,15 +250,15 @@
 def then_cuts(context):
     data = b"OPEN d x\r\nQUERY 1 READ a b\r\nCLOSE\r\n"
     for cut in range(len(data)):
-        buffer = LineBuffer()
+        buffer = LineDecoder()
         lines = buffer.feed(data[:cut]) + buffer.feed(data[cut:])
         assert lines == ["OPEN d x", "QUERY 1 READ a b", "CLOSE"], lines
 
 
 @then("a line over 1 MiB is refused")
 def then_too_long(context):
-    buffer = LineBuffer()
-    buffer.feed(b"x" * MAX_LINE)
+    buffer = LineDecoder()
+    buffer.feed(b"x" * MAX_LINE_BYTES)
     try:
         buffer.feed(b"x")
     except LineTooLong:
@@ -275,7 +275,7 @@
             chance.randrange(256) for _ in range(chance.randrange(9))
         )
         text = f"{chance.choice(words)} {noise.decode('latin-1')}"
-        read_statement(text)
+        parse_statement(text)
 
 
 @given("a caller's listener that is not ready for {seconds:f} s")
--- a/features/steps/silent_transaction_steps.py
+++ b/features/steps/silent_transaction_steps.py
@@ -10,8 +10,8 @@
 from behave import when
 
 from bamboospring.testing.caller import Caller
-from bamboospring.testing.estate import SMALL
 from bamboospring.testing.fleet import Fleet
+from bamboospring.testing.topology import SMALL
 
 GROUP = "ledger"
 INSERT = "INSERT INTO silent_entry VALUES (?)"
@@ -19,7 +19,7 @@
 
 @given("a small fleet behind the fault proxy with a table")
 def given_fleet(context: Any) -> None:
-    context.fleet = Fleet(estate=SMALL, links=True)
+    context.fleet = Fleet(topology=SMALL, links=True)
     context.add_cleanup(context.fleet.close)
     context.fleet.start()
     context.fleet.wait_serving()
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -25,7 +25,7 @@
 def soak(context: Any, seconds: int, seed: int, planned: bool) -> None:
     """Run a soak and keep what it found."""
     books, history, wrong = run_soak(
-        seconds=seconds, seed=seed, planned=planned
+        seconds=seconds, seed=seed, with_operators=planned
     )
     context.books = books
     context.wrong = wrong
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -18,7 +18,7 @@
 from bamboospring.object_store import Conflict
 from bamboospring.object_store import HistoryLost
 from bamboospring.object_store import Unavailable
-from bamboospring.platform.store import StoreDialect
+from bamboospring.platform.store_dialect import StoreDialect
 from bamboospring import platform_client
 from bamboospring.platform_client import PlatformClient
 from bamboospring.platform_watch import KindWatch
--- a/features/steps/transaction_steps.py
+++ b/features/steps/transaction_steps.py
@@ -112,7 +112,10 @@
 
     def work(number: int) -> bool:
         caller = Caller(
-            entries=entries, at=number, deadline_ms=20000, name=f"c{number}"
+            entries=entries,
+            entry_index=number,
+            deadline_ms=20000,
+            name=f"c{number}",
         )
         answer = caller.begin(GROUP)
         for _ in range(rows):
@@ -341,7 +344,7 @@
 def ask_numbers(fleet: Fleet, worker: int, deadline_ms: int) -> list[Any]:
     """Ask for own numbers for a while; return (asked, answer) pairs."""
     caller = Caller(
-        entries=fleet.entries(), at=worker, deadline_ms=deadline_ms
+        entries=fleet.entries(), entry_index=worker, deadline_ms=deadline_ms
     )
     pairs = []
     for number in range(12):
@@ -409,7 +412,7 @@
     def work(number: int) -> list[tuple[float, CallerAnswer]]:
         caller = Caller(
             entries=fleet.entries(),
-            at=number,
+            entry_index=number,
             deadline_ms=seconds * 1000,
             name=f"writer {number}",
         )
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -29,7 +29,7 @@
 from bamboospring.lease import ObservedLease
 from bamboospring.lease import ReadLease
 from bamboospring.lease import WriteLease
-from bamboospring.platform.store import StoreDialect
+from bamboospring.platform.store_dialect import StoreDialect
 from bamboospring import platform_client
 from bamboospring.platform_client import CallTiming
 from bamboospring.platform_client import PlatformClient
