--- a/bamboospring/blackboard.py
+++ b/bamboospring/blackboard.py
@@ -197,7 +197,7 @@
     are not yet as new as an earlier life of this process may have had them.
     """
 
-    me: Vm
+    local_vm: Vm
     vms: dict[str, Vm] = field(default_factory=dict)
     vms_revision: int = 0
     vms_confirmed_at: float = -1e9
--- a/bamboospring/change_runner.py
+++ b/bamboospring/change_runner.py
@@ -71,7 +71,7 @@
         self._leads = leads
         self._publish = publish
         self._chance = chance
-        self._nonce = f"{board.me.name}/{secrets.token_hex(6)}"
+        self._nonce = f"{board.local_vm.name}/{secrets.token_hex(6)}"
         self._changes = 0
         self.round = ROUND
 
--- a/bamboospring/drain.py
+++ b/bamboospring/drain.py
@@ -170,6 +170,6 @@
     def _tell_peers(self) -> None:
         message = new_envelope()
         heartbeat = message.init("heartbeat")
-        heartbeat.vm = self._board.me.name
+        heartbeat.vm = self._board.local_vm.name
         heartbeat.draining = True
         self._peers.broadcast(message)
--- a/bamboospring/entry.py
+++ b/bamboospring/entry.py
@@ -168,7 +168,7 @@
             key=req.key or "",
             deadline=begun_at + req.deadline_ms / 1000,
             token=session.position(req.group),
-            trace=f"{self._board.me.name}-{next(self._traces)}",
+            trace=f"{self._board.local_vm.name}-{next(self._traces)}",
             **more,
         )
         if stmt.write and not session.has_room(req.group):
--- a/bamboospring/entry_facts.py
+++ b/bamboospring/entry_facts.py
@@ -170,8 +170,8 @@
 
         message = new_envelope()
         report = message.init("process")
-        report.vm = self._board.me.name
-        report.address = self._board.me.address
+        report.vm = self._board.local_vm.name
+        report.address = self._board.local_vm.address
         report.draining = self._board.draining
         self._peers.ask(self._main.address, message, ASK_TIMEOUT, answered)
 
@@ -212,7 +212,7 @@
         message = new_envelope()
         message.init("groupFact").record = orjson.dumps(
             {
-                "vm": self._board.me.name,
+                "vm": self._board.local_vm.name,
                 "names": digest_names(self._board.group_names),
                 "all": False,
                 "digest": digest_versions({}),
--- a/bamboospring/entry_processes.py
+++ b/bamboospring/entry_processes.py
@@ -59,7 +59,7 @@
     def as_vms(self) -> list[Vm]:
         """Return the processes that operators are to see."""
         self._forget()
-        me = self._board.me
+        me = self._board.local_vm
         return [
             Vm(
                 name=name,
@@ -88,7 +88,7 @@
             return
         answer = new_envelope()
         out = answer.init("process")
-        out.vm = self._board.me.name
+        out.vm = self._board.local_vm.name
         out.ready = not self._board.starting
         out.draining = self._board.draining
         reply(answer)
--- a/bamboospring/exchange.py
+++ b/bamboospring/exchange.py
@@ -89,7 +89,7 @@
 
         def answered(answer: HttpAnswer | HttpLost) -> None:
             if isinstance(answer, HttpLost):
-                leased.silent = answer.reason == "timeout"
+                leased.unresponsive = answer.reason == "timeout"
                 leased.conn.close()
                 on_answer(answer)
                 return
--- a/bamboospring/fleet_view.py
+++ b/bamboospring/fleet_view.py
@@ -43,7 +43,7 @@
 
     def gather(self, on_done: OnFleet) -> None:
         """Call back once with what all VMs say; silent ones are named."""
-        me = self._board.me.name
+        me = self._board.local_vm.name
         others = [vm for vm in self._board.vms.values() if vm.name != me]
         round_ = _Round(
             peers=self._peers,
--- a/bamboospring/flights.py
+++ b/bamboospring/flights.py
@@ -118,5 +118,5 @@
             elif not flight.doubted:
                 flight.doubted = True
             else:
-                leased.silent = True
+                leased.unresponsive = True
                 leased.conn.close()
--- a/bamboospring/forwarding.py
+++ b/bamboospring/forwarding.py
@@ -145,7 +145,7 @@
         doubted = self._membership.vms_to_avoid(holders, now)
         order = order_holders(
             holders,
-            me=self._board.me.name,
+            me=self._board.local_vm.name,
             doubted=doubted | self._without_share(stmt, now),
             turn=next(self._turn),
             outstanding=self._outstanding.get(stmt.group, {}),
@@ -301,7 +301,7 @@
         stmt: Statement,
         on_answer: Callable[[Outcome | PeerLost], None],
     ) -> None:
-        if vm.name == self._board.me.name:
+        if vm.name == self._board.local_vm.name:
             self._holder.run(stmt, on_answer)
             return
         now = self._reactor.now()
--- a/bamboospring/group_sync.py
+++ b/bamboospring/group_sync.py
@@ -149,10 +149,10 @@
         before = self._index
         if not before:
             return
-        self._needed_by(self._board.me.name)
+        self._needed_by(self._board.local_vm.name)
         for vm, names in self._index.items():
             added = names - before.get(vm, set())
-            if added and vm != self._board.me.name:
+            if added and vm != self._board.local_vm.name:
                 self._send(vm, added)
 
     def ask(self) -> None:
@@ -187,7 +187,9 @@
         known here, so that no question brings it again, and never in force.
         """
         for name, known in self._all.items():
-            if self._board.me.name in vms_needing_group(self._placement, name):
+            if self._board.local_vm.name in vms_needing_group(
+                self._placement, name
+            ):
                 self._take(name, known.version, known.value)
 
     def _learn(self, name: str, version: int, value: Any) -> bool:
@@ -197,7 +199,9 @@
             return False
         self._all[name] = _Known(version=version, value=value)
         self._board.group_names.add(name)
-        if self._board.me.name in vms_needing_group(self._placement, name):
+        if self._board.local_vm.name in vms_needing_group(
+            self._placement, name
+        ):
             self._take(name, version, value)
         return True
 
@@ -227,7 +231,7 @@
 
     def _send_to_needing(self, name: str) -> None:
         for vm in vms_needing_group(self._placement, name):
-            if vm != self._board.me.name:
+            if vm != self._board.local_vm.name:
                 self._send(vm, (name,))
 
     def _send(self, vm: str, names: Iterable[str]) -> None:
@@ -262,7 +266,7 @@
         """Return a question: by digest, or `whole` with all versions."""
         have = self._have()
         question: dict[str, Any] = {
-            "vm": self._board.me.name,
+            "vm": self._board.local_vm.name,
             "names": digest_names(self._board.group_names),
             # A watcher that the platform does not answer copies the others.
             "all": self._is_watcher() and not self.synced,
@@ -284,7 +288,7 @@
         return have | {n: known.version for n, known in self._all.items()}
 
     def _needed_here(self, have: dict[str, int]) -> dict[str, int]:
-        me = self._board.me.name
+        me = self._board.local_vm.name
         return {
             name: version
             for name, version in have.items()
@@ -341,11 +345,11 @@
 
     def _is_watcher(self) -> bool:
         watchers = self._placement.platform_watchers()
-        return any(vm.name == self._board.me.name for vm in watchers)
+        return any(vm.name == self._board.local_vm.name for vm in watchers)
 
     def _other_watchers(self) -> list[Vm]:
         """Return the watchers, those of our own zone first."""
-        me = self._board.me
+        me = self._board.local_vm
         others = self._placement.platform_watchers()
         zone = me.availability_zone
         return sorted(
--- a/bamboospring/holder.py
+++ b/bamboospring/holder.py
@@ -74,7 +74,7 @@
         watcher.has_pending_work = self.has_in_flight_work
         self.transactions = TransactionRunner(
             reactor=reactor,
-            vm=board.me.name,
+            vm=board.local_vm.name,
             pools=pools,
             exchange=exchange,
             watcher=watcher,
@@ -153,7 +153,7 @@
 
     def _holds(self, group: str) -> bool:
         holders = self._placement.holders(group)
-        return any(vm.name == self._board.me.name for vm in holders)
+        return any(vm.name == self._board.local_vm.name for vm in holders)
 
     def _doubt(self, group: str) -> None:
         now = self._reactor.now()
--- a/bamboospring/lease_client.py
+++ b/bamboospring/lease_client.py
@@ -54,7 +54,10 @@
         nonce = secrets.token_hex(8)
         self._keepers = [
             LeaseKeeper(
-                bucket=bucket, vm=board.me.name, nonce=nonce, timing=timing
+                bucket=bucket,
+                vm=board.local_vm.name,
+                nonce=nonce,
+                timing=timing,
             )
             for bucket in range(BUCKET_COUNT)
         ]
--- a/bamboospring/operators.py
+++ b/bamboospring/operators.py
@@ -79,7 +79,7 @@
         self._fleet = fleet
         self._handle_table = handle_table
         self._hand_over = hand_over
-        me = board.me
+        me = board.local_vm
         self._exporter = Exporter(
             vm=me.name, availability_zone=me.availability_zone
         )
--- a/bamboospring/peer_sync.py
+++ b/bamboospring/peer_sync.py
@@ -92,7 +92,7 @@
         self._announcing: Timer | None = None
         self.on_heartbeat: list[Callable[[int], None]] = []
         # Names and addresses of processes that are told of news besides.
-        self.also_tell: Callable[[], dict[str, str]] = dict
+        self.extra_recipients: Callable[[], dict[str, str]] = dict
         store.on_change.append(self.announce)
         peers.add_handler("heartbeat", self._on_heartbeat)
         peers.add_handler("tableWant", self._on_table_want)
@@ -145,7 +145,9 @@
         """Return the VMs that this one compares versions with."""
         if self._neighbours_of != self._board.vms_revision:
             vms = list(self._board.vms.values())
-            self._neighbours = choose_neighbours(self._board.me.name, vms)
+            self._neighbours = choose_neighbours(
+                self._board.local_vm.name, vms
+            )
             self._neighbours_of = self._board.vms_revision
             self._membership.retain_vms(self._board.vms)
         return self._neighbours
@@ -157,7 +159,7 @@
     def _announce_now(self) -> None:
         self._announcing = None
         vms = {vm.name: vm.address for vm in self.neighbours()}
-        vms.update(self.also_tell())
+        vms.update(self.extra_recipients())
         for name in self._callers:
             vm = self._board.vms.get(name)
             if vm is not None:
@@ -180,7 +182,7 @@
 
     def _fill(self, out: Any, whole: bool) -> None:
         versions = fact_versions(self._board)
-        out.vm = self._board.me.name
+        out.vm = self._board.local_vm.name
         out.vmsRevision = versions.vms_revision
         out.draining = self._board.draining
         out.digest = versions_digest(versions)
@@ -214,7 +216,7 @@
         if heartbeat.draining:
             self._membership.set_draining(name, self._reactor.now())
         vm = self._board.vms.get(name)
-        if vm is not None and name != self._board.me.name:
+        if vm is not None and name != self._board.local_vm.name:
             self._callers[name] = self._reactor.now()
             self._heard(heartbeat, vm.address)
         if message.id != 0:
--- a/bamboospring/platform/store_objects.py
+++ b/bamboospring/platform/store_objects.py
@@ -208,7 +208,7 @@
         ),
         group=raw.service,
         leaving=raw.state == LEAVING,
-        leads=raw.databaseRole == "primary",
+        is_primary=raw.databaseRole == "primary",
     )
 
 
--- a/bamboospring/platform/target_dialer.py
+++ b/bamboospring/platform/target_dialer.py
@@ -313,7 +313,7 @@
         self,
         team: str,
         timeout: float,
-        on_done: Callable[[Opened[LineLink] | OpenFailed], None],
+        on_complete: Callable[[Opened[LineLink] | OpenFailed], None],
     ) -> None:
         """Open a connection and greet the target in a team's name."""
 
@@ -323,18 +323,18 @@
             if stream is None:
                 # A machine that is silent uses the whole time up.
                 took = self._reactor.now() - began
-                on_done(OpenFailed(refused=took < timeout * REFUSED_PART))
+                on_complete(OpenFailed(refused=took < timeout * REFUSED_PART))
                 return
             link = LineLink(reactor=self._reactor, stream=stream)
 
             def greeted(result: list[TargetReply] | LinkLost) -> None:
                 if isinstance(result, LinkLost):
-                    on_done(OpenFailed())
+                    on_complete(OpenFailed())
                 elif result[0].refusal is not None:
                     link.close()
-                    on_done(_open_failed(result[0]))
+                    on_complete(_open_failed(result[0]))
                 else:
-                    on_done(Opened(link=link))
+                    on_complete(Opened(link=link))
 
             link.open_session(
                 self._target, self._service, team, timeout, greeted
--- a/bamboospring/platform_watch.py
+++ b/bamboospring/platform_watch.py
@@ -199,7 +199,7 @@
     def is_watcher(self) -> bool:
         """Say whether this VM watches on behalf of all."""
         watchers = self._placement.platform_watchers()
-        return any(vm.name == self._board.me.name for vm in watchers)
+        return any(vm.name == self._board.local_vm.name for vm in watchers)
 
     def start(self) -> None:
         """Read the list of VMs and the table, then go on as due."""
--- a/bamboospring/pool.py
+++ b/bamboospring/pool.py
@@ -102,7 +102,7 @@
     leased_at: float = 0.0
     slot: Ticket | None = None
     gate: Ticket | None = None
-    silent: bool = False
+    unresponsive: bool = False
     connection_id: int = 0
     team: str = ""
 
@@ -274,7 +274,7 @@
             # heartbeat without an answer counts as a silent connection.
             self._connections.lost()
             self._give_up(leased)
-        if leased.silent:
+        if leased.unresponsive:
             self._suspect()
         self._apply_share()
         self._serve()
--- a/bamboospring/process.py
+++ b/bamboospring/process.py
@@ -55,7 +55,7 @@
         self.rotation = Rotation(reactor=self.reactor, path=path, load=load)
         self.rotation.add(self._take_settings)
         self.board = Blackboard(
-            me=Vm(
+            local_vm=Vm(
                 name=cfg.vm,
                 address=cfg.peers.listen,
                 availability_zone=cfg.availability_zone,
--- a/bamboospring/reads.py
+++ b/bamboospring/reads.py
@@ -136,7 +136,7 @@
             self._group,
             row,
             self._needs,
-            zone=runner.board.me.availability_zone,
+            zone=runner.board.local_vm.availability_zone,
             now=runner.reactor.now(),
             draws=Draws(
                 site=random.random(),
--- a/bamboospring/server.py
+++ b/bamboospring/server.py
@@ -105,7 +105,7 @@
         self.entry_processes = EntryProcesses(
             board=self.board, peers=self.peers, now=self.reactor.now
         )
-        self.facts.sync.also_tell = self.entry_processes.addresses
+        self.facts.sync.extra_recipients = self.entry_processes.addresses
         self.steward = Steward(
             reactor=to_targets,
             board=self.board,
@@ -153,7 +153,7 @@
     def _order_hand_over(self, group: str, target: str) -> None:
         """Tell all who may lead the group; only the one who does acts."""
         for vm in self.placement.candidates(bucket_of(group)):
-            if vm.name == self.board.me.name:
+            if vm.name == self.board.local_vm.name:
                 self.steward.hand_over(group, target)
                 continue
             self._send_hand_over(vm, group, target)
--- a/bamboospring/sessions/direct_attempt.py
+++ b/bamboospring/sessions/direct_attempt.py
@@ -25,7 +25,7 @@
 from bamboospring.sessions.replies import CHANGE_RETRY_MS
 from bamboospring.sessions.replies import order_for_job
 from bamboospring.sessions.replies import record_reply
-from bamboospring.sessions.replies import refused_from
+from bamboospring.sessions.replies import refusal_outcome
 from bamboospring.sessions.replies import served_outcome
 from bamboospring.sessions.target_choice import SendTo
 
@@ -223,7 +223,7 @@
             run.tx.has_written = False
         run.failed(
             self,
-            refused_from(reply),
+            refusal_outcome(reply),
             again=again,
             free=is_free_retry(refusal, urgent=run.urgent),
         )
--- a/bamboospring/sessions/forwarded_attempt.py
+++ b/bamboospring/sessions/forwarded_attempt.py
@@ -32,7 +32,7 @@
 from bamboospring.sessions.refusals import is_free_retry
 from bamboospring.sessions.refusals import record_refusal
 from bamboospring.sessions.replies import record_reply
-from bamboospring.sessions.replies import refused_from
+from bamboospring.sessions.replies import refusal_outcome
 from bamboospring.sessions.replies import served_outcome
 from bamboospring.sessions.target_choice import SendTo
 from bamboospring.sessions.zone_holders import ZoneVm
@@ -209,7 +209,7 @@
             run.runner.doubt(run.group.name)
         run.failed(
             self,
-            refused_from(reply),
+            refusal_outcome(reply),
             again=can_retry(refusal, writes=run.job.writes),
             free=is_free_retry(refusal, urgent=run.urgent),
         )
--- a/bamboospring/sessions/leader.py
+++ b/bamboospring/sessions/leader.py
@@ -128,7 +128,7 @@
             questions=questions,
             records=records,
             releases=releases,
-            leads=lambda: self.lease.leads,
+            leads=lambda: self.lease.is_held,
             on_settled=self._changes.put_right,
             on_disagreed=self._replace_unsettled,
         )
@@ -141,7 +141,7 @@
         # Armed first: a fault in one round must not end all that follow.
         self._reactor.call_later(TICK, self._tick)
         self.lease.step()
-        if self.lease.leads:
+        if self.lease.is_held:
             self._lead()
             self._quotas.restore()
             self._tidy()
@@ -309,7 +309,7 @@
             if (
                 isinstance(result, TargetReport)
                 and result.is_primary
-                and self.lease.leads
+                and self.lease.is_held
             ):
                 record = first_record(group, term=result.term, era=era)
                 if record is not None:
--- a/bamboospring/sessions/leader_lease.py
+++ b/bamboospring/sessions/leader_lease.py
@@ -81,12 +81,12 @@
         self._rank = zlib.crc32(nonce.encode()) % RANKS
         self._awaiting_read = False
         self._led = False
-        records.is_leader = lambda: self.leads
+        records.is_leader = lambda: self.is_held
         records.on_other = self._lease_seen
         records.on_read = self._records_read
 
     @property
-    def leads(self) -> bool:
+    def is_held(self) -> bool:
         """Tell whether this VM may act now."""
         return self.holds_until(self._reactor.now())
 
@@ -167,9 +167,9 @@
         self._log_lead()
 
     def _log_lead(self) -> None:
-        if self.leads == self._led:
+        if self.is_held == self._led:
             return
-        self._led = self.leads
+        self._led = self.is_held
         lease = self._keeper.as_lease()
         logs.log_event(
             "lease_taken" if self._led else "lease_lost",
--- a/bamboospring/sessions/model.py
+++ b/bamboospring/sessions/model.py
@@ -142,7 +142,7 @@
     target: Target
     group: str
     leaving: bool = False
-    leads: bool = False
+    is_primary: bool = False
     usable_until: float = float("inf")
 
 
--- a/bamboospring/sessions/node.py
+++ b/bamboospring/sessions/node.py
@@ -231,7 +231,7 @@
             ),
         )
 
-        self.catalog.is_leader = lambda: self.leader.lease.leads
+        self.catalog.is_leader = lambda: self.leader.lease.is_held
         self.quota_counter = QuotaCounter(
             reactor=self.reactor,
             board=self.board,
--- a/bamboospring/sessions/ports.py
+++ b/bamboospring/sessions/ports.py
@@ -323,7 +323,7 @@
     OTHER = "other"
 
     @property
-    def promises_nothing_ran(self) -> bool:
+    def guarantees_not_run(self) -> bool:
         """Tell whether the order surely had no effect."""
         return self in _PROMISES
 
--- a/bamboospring/sessions/primary_health.py
+++ b/bamboospring/sessions/primary_health.py
@@ -97,7 +97,7 @@
     Only where exactly one target says that it leads: two would mean a change
     that nobody recorded.
     """
-    leaders = [name for name, news in group.targets.items() if news.leads]
+    leaders = [name for name, news in group.targets.items() if news.is_primary]
     if len(leaders) != 1:
         return None
     return PrimaryRecord(
--- a/bamboospring/sessions/refusals.py
+++ b/bamboospring/sessions/refusals.py
@@ -50,13 +50,13 @@
     if refusal is Refusal.BEHIND:
         pause = catch_up_delay(group.samples, view.applied, needed)
         view.behind_until = now + pause
-    elif not refusal.promises_nothing_ran:
+    elif not refusal.guarantees_not_run:
         view.record_failure()
 
 
 def can_retry(refusal: Refusal, *, writes: bool) -> bool:
     """Tell whether the statement may be sent once more."""
-    if refusal.promises_nothing_ran:
+    if refusal.guarantees_not_run:
         return True
     return not writes and refusal is not Refusal.OTHER
 
--- a/bamboospring/sessions/relay.py
+++ b/bamboospring/sessions/relay.py
@@ -83,7 +83,7 @@
             news.target.born,
             news.group,
             news.leaving,
-            news.leads,
+            news.is_primary,
         )
         for news in sorted(listed, key=lambda news: news.target.name)
     ]
@@ -104,7 +104,7 @@
             ),
             group=group,
             leaving=leaving,
-            leads=leads,
+            is_primary=leads,
         )
         for name, address, zone, slots, born, group, leaving, leads in (
             orjson.loads(data)
@@ -167,7 +167,7 @@
         interval = RELAY_INTERVAL if serves else INTERVAL
         self._reactor.call_later(interval, self._tick)
         leader = self._duty.holder()
-        if self._duty.leads or leader in ("", self._board.vm):
+        if self._duty.is_held or leader in ("", self._board.vm):
             self._set_relayed(False, "this VM leads or nobody does")
             return
         address = self._duty.holder_address()
@@ -346,7 +346,7 @@
         now = self._reactor.now()
         answer = new_envelope()
         facts = answer.init("facts")
-        if self._duty.leads:
+        if self._duty.is_held:
             facts.informed = True
             self._fill(facts, ask)
             self._assign(facts, ask, now)
--- a/bamboospring/sessions/replies.py
+++ b/bamboospring/sessions/replies.py
@@ -27,7 +27,7 @@
     "CHANGE_RETRY_MS",
     "record_reply",
     "order_for_job",
-    "refused_from",
+    "refusal_outcome",
     "served_outcome",
     "is_certainly_not_run",
 ]
@@ -61,7 +61,7 @@
     )
 
 
-def refused_from(reply: TargetReply) -> SessionOutcome:
+def refusal_outcome(reply: TargetReply) -> SessionOutcome:
     """Return what a target's refusal means to the caller."""
     match reply.refusal:
         case Refusal.BUSY:
--- a/bamboospring/sessions/session_metrics.py
+++ b/bamboospring/sessions/session_metrics.py
@@ -167,7 +167,7 @@
         )
         watch(
             "bamboospring.leads",
-            lambda: int(duty.leads),
+            lambda: int(duty.is_held),
             description="1 where changes of primary are led.",
         )
         watch(
--- a/bamboospring/sessions/takeover_runner.py
+++ b/bamboospring/sessions/takeover_runner.py
@@ -154,7 +154,7 @@
     def _carry_out(
         self, group: SessionGroup, change: Takeover, action: Action
     ) -> None:
-        if not self._duty.leads:
+        if not self._duty.is_held:
             return
         match action:
             case TellTarget(target=target, order=order):
@@ -330,7 +330,7 @@
     ) -> None:
         def again() -> None:
             now = self._reactor.now()
-            if group.record != record or now > until or not self._duty.leads:
+            if group.record != record or now > until or not self._duty.is_held:
                 return
             self._put_one_right(group, record, name, until)
 
--- a/bamboospring/sessions/target_keeper.py
+++ b/bamboospring/sessions/target_keeper.py
@@ -205,7 +205,7 @@
             born=news.target.born,
             zone=news.target.availability_zone,
             leaving=news.leaving,
-            leads=news.leads,
+            leads=news.is_primary,
             known=old is not None,
         )
 
--- a/bamboospring/sessions/transaction_step.py
+++ b/bamboospring/sessions/transaction_step.py
@@ -18,7 +18,7 @@
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.replies import order_for_job
 from bamboospring.sessions.replies import record_reply
-from bamboospring.sessions.replies import refused_from
+from bamboospring.sessions.replies import refusal_outcome
 from bamboospring.sessions.replies import served_outcome
 from bamboospring.sessions.session import Job
 from bamboospring.sessions.session import OnOutcome
@@ -164,7 +164,7 @@
                 runner.doubt(group.name)
             if self._commits or reply.state is SessionState.IDLE:
                 self._drop()
-            self._finish(refused_from(reply), reply.position)
+            self._finish(refusal_outcome(reply), reply.position)
             return
         outcome: SessionOutcome = served_outcome(reply, target, tx.at_replica)
         if self._commits:
--- a/bamboospring/share_keeper.py
+++ b/bamboospring/share_keeper.py
@@ -96,7 +96,7 @@
         self._peers = peers
         self._pools = pools
         self.vm_list_monitor = VmListMonitor(
-            local_vm_name=board.me.name, timing=timing
+            local_vm_name=board.local_vm.name, timing=timing
         )
         self._groups: dict[str, GroupShares] = {}
         self._targets: dict[str, tuple[Target, ...]] = {}
@@ -161,7 +161,7 @@
             return
         shares = self._groups.get(name)
         if shares is None:
-            if group is None or self._board.me.name not in holders:
+            if group is None or self._board.local_vm.name not in holders:
                 return
             shares = self._groups[name] = GroupShares(
                 vm_list_monitor=self.vm_list_monitor
@@ -256,7 +256,7 @@
         message = new_envelope()
         out = message.init("shareRequest")
         out.group = name
-        out.vm = self._board.me.name
+        out.vm = self._board.local_vm.name
         out.vmsRevision = max(0, ask.revision)
         out.holders = hash_names(ask.holders)
         self._peers.ask(vm.address, message, ASK_TIMEOUT, answered)
--- a/bamboospring/status_view.py
+++ b/bamboospring/status_view.py
@@ -57,10 +57,10 @@
         """Return the status of this VM as JSON data."""
         board = self._board
         return {
-            "vm": board.me.name,
-            "address": board.me.address,
-            "availability_zone": board.me.availability_zone,
-            "region": board.me.region,
+            "vm": board.local_vm.name,
+            "address": board.local_vm.address,
+            "availability_zone": board.local_vm.availability_zone,
+            "region": board.local_vm.region,
             "entry_of": self._entry_of,
             "processes": [
                 {
@@ -105,7 +105,7 @@
         ]
 
     def _groups(self) -> dict[str, Any]:
-        me = self._board.me.name
+        me = self._board.local_vm.name
         return {
             name: self._group(name, group)
             for name, group in sorted(self._board.groups.items())
--- a/bamboospring/steward.py
+++ b/bamboospring/steward.py
@@ -134,7 +134,7 @@
         body.group = group
         body.term = term
         candidates = self._placement.candidates(self._bucket(group))
-        me = self._board.me.name
+        me = self._board.local_vm.name
         others = [vm.address for vm in candidates if vm.name != me]
         self._peers.send_all(others, message)
         if len(others) < len(candidates):
@@ -206,7 +206,7 @@
             return None
         candidates = self._placement.candidates(bucket)
         for place, vm in enumerate(candidates):
-            if vm.name == self._board.me.name:
+            if vm.name == self._board.local_vm.name:
                 return place
         return None
 
@@ -289,7 +289,7 @@
         record = group.record
         care.suspicions.forget_before(record.term)
         zones = [vm.availability_zone for vm in self._placement.holders(name)]
-        zones.append(self._board.me.availability_zone)
+        zones.append(self._board.local_vm.availability_zone)
         condemned = care.suspicions.condemned(
             record.primary, record.term, now, zones
         )
--- a/bamboospring/suspicion_exchange.py
+++ b/bamboospring/suspicion_exchange.py
@@ -89,7 +89,7 @@
     ) -> None:
         """Tell the candidates of the group's bucket of a judgement."""
         message = self._suspicion(group, target, term, verdict)
-        me = self._board.me.name
+        me = self._board.local_vm.name
         candidates = self._placement.candidates(bucket_of(group))
         others = [vm.address for vm in candidates if vm.name != me]
         self._peers.send_all(others, message)
@@ -104,8 +104,8 @@
         body.group = group
         body.target = target
         body.term = term
-        body.vm = self._board.me.name
-        body.availabilityZone = self._board.me.availability_zone
+        body.vm = self._board.local_vm.name
+        body.availabilityZone = self._board.local_vm.availability_zone
         body.suspected = verdict.suspected
         body.silentMs = min(int(verdict.silent * 1000), 2**32 - 1)
         return message
@@ -146,7 +146,7 @@
         if target is None or now - care.check_at < CHECK_INTERVAL:
             return
         care.check_at = now
-        me = self._board.me
+        me = self._board.local_vm
 
         def answered(done: bool, probe: ProbeResult | None) -> None:
             works = probe is not None and probe.term == record.term
@@ -184,7 +184,7 @@
         heard = {report.availability_zone for report in found}
         if len(heard) > 1:
             return
-        me = self._board.me
+        me = self._board.local_vm
         vms = self._placement.vms
         heard.add(me.availability_zone)
         for vm in choose_witnesses(record.name, vms, me, heard):
--- a/bamboospring/table_pages.py
+++ b/bamboospring/table_pages.py
@@ -155,13 +155,13 @@
         if found is None:
             return {
                 "source": "in_force",
-                "vm": self._board.me.name,
+                "vm": self._board.local_vm.name,
                 "rows": self._rows_in_force(),
                 "shards": self._versions_in_force(),
             }
         return {
             "source": "accepted",
-            "vm": self._board.me.name,
+            "vm": self._board.local_vm.name,
             "rows": _accepted_rows(found, self._board.group_names),
             "shards": self._versions_in_force(),
         }
--- a/bamboospring/target_watcher.py
+++ b/bamboospring/target_watcher.py
@@ -210,7 +210,7 @@
 
     def _follow(self, name: str) -> None:
         holders = self._placement.holders(name)
-        mine = any(vm.name == self._board.me.name for vm in holders)
+        mine = any(vm.name == self._board.local_vm.name for vm in holders)
         group = self._board.groups.get(name)
         if group is None or not (mine or self._lingers(name)):
             watched = self._watched.pop(name, None)
--- a/bamboospring/testing/session_checker.py
+++ b/bamboospring/testing/session_checker.py
@@ -38,7 +38,7 @@
     burst: float
 
     @property
-    def most(self) -> float:
+    def max_operations(self) -> float:
         """Return how many operations may run in one window."""
         wanted = self.rate * LIMIT_WINDOW + self.burst
         return wanted * (1 + LIMIT_OVERAGE) + LIMIT_SLACK
@@ -140,7 +140,7 @@
         for team, allowed in limits.items():
             operations = self._operations(team)
             most[team] = _most_in_window(operations)
-            if most[team] > allowed.most:
+            if most[team] > allowed.max_operations:
                 self._fault(
                     f"{most[team]} operations of {team} in {LIMIT_WINDOW} s"
                 )
--- a/features/steps/comparison_steps.py
+++ b/features/steps/comparison_steps.py
@@ -72,7 +72,7 @@
     """One VM: the real component over a blackboard."""
 
     def __init__(self, vm: Vm, peers: MemoryPeers) -> None:
-        self.board = Blackboard(me=vm)
+        self.board = Blackboard(local_vm=vm)
         self.board.vms = {each.name: each for each in LISTED}
         self.board.vms_revision = 1
         for shard in range(SHARD_COUNT):
--- a/features/steps/configuration_properties.py
+++ b/features/steps/configuration_properties.py
@@ -284,7 +284,7 @@
 
     def __init__(self, world: World, name: str) -> None:
         self.reactor = FakeReactor(world.clock)
-        self.board = Blackboard(me=world.vm(name))
+        self.board = Blackboard(local_vm=world.vm(name))
         self.peers = FakePeers(world, name, self.reactor)
         self.highest: dict[str, int] = {}
         self._root = Component()
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -81,7 +81,7 @@
 
 @given("an entry that has just started")
 def given_entry(context: Any) -> None:
-    context.board = Blackboard(me=ME)
+    context.board = Blackboard(local_vm=ME)
     context.tries = []
     context.forwarder = Forwarder(
         reactor=SimpleNamespace(now=lambda: 0.0),
@@ -112,7 +112,7 @@
     context.tries = []
     context.holder = Holder(
         reactor=Reactor(),
-        board=Blackboard(me=ME, starting=True),
+        board=Blackboard(local_vm=ME, starting=True),
         placement=Placement([ME]),
         pools=SimpleNamespace(),
         watcher=SimpleNamespace(),
@@ -159,7 +159,7 @@
     context.timers = Timers()
     context.holder = ShareHolder(context.timers)
     context.budget = RetryBudget()
-    board = Blackboard(me=ME)
+    board = Blackboard(local_vm=ME)
     board.group_names.add(GROUP)
     context.forwarder = Forwarder(
         reactor=context.timers,  # type: ignore[arg-type]
--- a/features/steps/group_records_steps.py
+++ b/features/steps/group_records_steps.py
@@ -39,7 +39,7 @@
     context.taken = []
     context.handlers = {}
     me = Vm(name="vm-1", address="127.0.0.1:2", availability_zone="zone-a")
-    context.board = Blackboard(me=me)
+    context.board = Blackboard(local_vm=me)
     context.placement = Placement()
     peers = SimpleNamespace(
         handle=context.handlers.__setitem__,
--- a/features/steps/names_known_steps.py
+++ b/features/steps/names_known_steps.py
@@ -23,7 +23,7 @@
     context.vms = fleet(size, 3, 1)
     context.names = [f"group-{number}" for number in range(count)]
     context.asked, context.timers, context.told = [], [], []
-    board = Blackboard(me=context.vms[0])
+    board = Blackboard(local_vm=context.vms[0])
     board.group_names.update(context.names[:known])
     context.placement = Placement(context.vms)
     context.sync = GroupSync(
--- a/features/steps/outstanding_steps.py
+++ b/features/steps/outstanding_steps.py
@@ -29,7 +29,7 @@
         Vm(name=name, address=address, availability_zone=f"zone-{name}")
         for name, address in ADDRESS.items()
     ]
-    board = Blackboard(me=vms[0], vms={vm.name: vm for vm in vms})
+    board = Blackboard(local_vm=vms[0], vms={vm.name: vm for vm in vms})
     board.group_names.add(GROUP)
     context.waiting = []
     context.answers = []
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -198,7 +198,7 @@
     context.now = 10.0
     context.asked = []
     me = Vm(name="vm-1", address="127.0.0.1:1", availability_zone="zone-a")
-    context.board = Blackboard(me=me)
+    context.board = Blackboard(local_vm=me)
     store = FactStore(
         board=context.board,
         placement=Placement(),
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -530,7 +530,7 @@
     context.placement = Placement(context.listed)
     context.facts = EntryFacts(
         reactor=Clock(),  # type: ignore[arg-type]
-        board=Blackboard(me=Vm(**ENTRY_PROCESS)),
+        board=Blackboard(local_vm=Vm(**ENTRY_PROCESS)),
         placement=context.placement,
         peers=context.peers,  # type: ignore[arg-type]
         membership=Membership(),
--- a/features/steps/session_texts_steps.py
+++ b/features/steps/session_texts_steps.py
@@ -395,7 +395,7 @@
 @then("a good entry beside them is read")
 def then_good(context):
     news = read_target(Found(kind="s", name="m", version=1, value=GOOD))
-    assert news is not None and news.leaving and news.leads
+    assert news is not None and news.leaving and news.is_primary
     assert news.target.born == GOOD["born"]
 
 
--- a/features/steps/silent_targets_steps.py
+++ b/features/steps/silent_targets_steps.py
@@ -128,7 +128,7 @@
     flights = Flights()
     SilenceWatch(
         reactor=context.timers,  # type: ignore[arg-type]
-        board=Blackboard(me=me, groups={GROUP: context.group}),
+        board=Blackboard(local_vm=me, groups={GROUP: context.group}),
         flights=flights,
     )
     context.flight = Flight()
--- a/features/steps/suspicion_steps.py
+++ b/features/steps/suspicion_steps.py
@@ -199,7 +199,7 @@
         placement.set_vms(vms)
         peers = MemoryPeers(network, [])
         network[vm.address] = peers
-        self.board = Blackboard(me=vm)
+        self.board = Blackboard(local_vm=vm)
         self.witnesses = SuspicionExchange(
             reactor=FixedTime(),  # type: ignore[arg-type]
             board=self.board,
--- a/features/steps/target_polls_steps.py
+++ b/features/steps/target_polls_steps.py
@@ -125,7 +125,7 @@
         call_later=lambda wait, call: context.later.append(call),
     )
     me = Vm(name="vm-1", address="127.0.0.1:2", availability_zone="zone-a")
-    board = Blackboard(me=me)
+    board = Blackboard(local_vm=me)
     placement = Placement([me])
     target = Target(
         name="m1",
--- a/features/steps/wire_steps.py
+++ b/features/steps/wire_steps.py
@@ -168,7 +168,7 @@
 def given_entry(context: Any) -> None:
     me = Vm(name="vm-1", address="127.0.0.1:2", availability_zone="zone-a")
     other = Vm(name="vm-2", address="127.0.0.1:3", availability_zone="zone-b")
-    board = Blackboard(me=me)
+    board = Blackboard(local_vm=me)
     board.group_names.add("ledger")
     context.dropped = False
 
--- a/features/steps/zone_holders_steps.py
+++ b/features/steps/zone_holders_steps.py
@@ -260,7 +260,9 @@
         )
         group = self.board.group("g")
         group.record = PrimaryRecord(group="g", version=1, term=1, primary="t")
-        group.targets["t"] = ListedTarget(target=TARGET, group="g", leads=True)
+        group.targets["t"] = ListedTarget(
+            target=TARGET, group="g", is_primary=True
+        )
         self.pools: Any = Pools(
             reactor=clock,
             make_dialer=lambda target, on_ended: FakeDialer(
