--- a/features/steps/group_records_steps.py
+++ b/features/steps/group_records_steps.py
@@ -42,7 +42,7 @@
     context.board = Blackboard(local_vm=me)
     context.placement = Placement()
     peers = SimpleNamespace(
-        handle=context.handlers.__setitem__,
+        add_handler=context.handlers.__setitem__,
         send=lambda address, message: None,
         ask=lambda address, message, timeout, on_answer: None,
     )
@@ -52,7 +52,7 @@
         placement=context.placement,
         peers=peers,
         platform=SimpleNamespace(),
-        store=SimpleNamespace(take_group=context.taken.append),
+        store=SimpleNamespace(apply_group=context.taken.append),
     )
 
 
@@ -68,9 +68,9 @@
 
 @when("the list of VMs arrives that makes it a holder of that group")
 def when_listed(context: Any) -> None:
-    context.board.vms = {"vm-1": context.board.me}
+    context.board.vms = {"vm-1": context.board.local_vm}
     context.board.vms_revision = 1
-    context.placement.set_vms([context.board.me])
+    context.placement.set_vms([context.board.local_vm])
     context.sync.follow_placement()
 
 
--- a/features/steps/session_decisions_steps.py
+++ b/features/steps/session_decisions_steps.py
@@ -123,7 +123,7 @@
 @given("both replicas were behind at {at:f}")
 def given_behind(context, at):
     for name in ("r1", "r2"):
-        context.group.view(name).behind_until = at + 0.1
+        context.group.observed_target(name).behind_until = at + 0.1
 
 
 @given("a sample of each 0.1 s, and replicas that lag by {lag:g} s")
@@ -171,7 +171,7 @@
         shown = Position(term=1, index=index_at(now - context.lag))
         if name == "p" or shown >= choice.after:
             return name
-        group.view(name).shows(shown, now)
+        group.observed_target(name).record_applied(shown, now)
         record_refusal(group, name, Refusal.BEHIND, now, needed=choice.after)
         excluded.add(name)
 
@@ -286,8 +286,8 @@
         self.results = results
         self.puts = []
         self.era = 0
-        self.returned_at = None
-        self.on_return = []
+        self.restored_at = None
+        self.on_restored = []
 
     def put(self, kind, name, if_version, value, purpose, on_result):
         self.puts.append(if_version)
@@ -327,12 +327,12 @@
 
 @then("it may take proofs at {at:f}")
 def then_may(context, at):
-    assert context.registry.may_take_proofs(at)
+    assert context.registry.can_take_proofs(at)
 
 
 @then("it may not take proofs at {at:f}")
 def then_may_not(context, at):
-    assert not context.registry.may_take_proofs(at)
+    assert not context.registry.can_take_proofs(at)
 
 
 @given("a VM whose entry exists at version {version:d}")
@@ -378,18 +378,18 @@
 
 @when("the target is full at {at:f}")
 def when_full(context, at):
-    context.connections.target_full(at)
+    context.connections.record_target_full(at)
 
 
 @then("none is opened before {at:f}")
 def then_none(context, at):
-    assert context.connections.wait_to_open(at - 0.001, 1) > 0
-    assert context.connections.wait_to_open(at, 1) == 0
+    assert context.connections.open_delay(at - 0.001, 1) > 0
+    assert context.connections.open_delay(at, 1) == 0
 
 
 class FakeConn:
-    def __init__(self, used_at, values=None):
-        self.heard_at = self.used_at = used_at
+    def __init__(self, last_used_at, values=None):
+        self.last_response_at = self.last_used_at = last_used_at
         self.values = values or {}
         self.shapes = set()
         self.team = ""
@@ -399,9 +399,9 @@
 def then_closed(context, seconds, until):
     connections = context.connections
     connections.opening = 1
-    connections.opened(FakeConn(until - 1.0))
-    assert not connections.expired(until + 0.1)
-    assert len(connections.expired(until - 0.1)) == 1
+    connections.add_opened(FakeConn(until - 1.0))
+    assert not connections.take_expired(until + 0.1)
+    assert len(connections.take_expired(until - 0.1)) == 1
 
 
 @given("idle connections with the values lang=1, none, lang=2")
@@ -416,8 +416,8 @@
 @when("a session with the values {name}={value} takes one")
 def when_takes(context, name, value):
     values = {name: value}
-    context.taken = context.connections.take(
-        5.0, merit=lambda conn: link_fit(conn, values, None)
+    context.taken = context.connections.lease_idle(
+        5.0, score=lambda conn: link_fit(conn, values, None)
     )
 
 
@@ -432,7 +432,7 @@
 
 @then("a session with no values clears the one with lang=1 first")
 def then_clears(context):
-    taken = context.connections.take(5.0)
+    taken = context.connections.lease_idle(5.0)
     assert taken.values == {"lang": "1"}
     assert setup_orders(taken, {}, None, None) == [ResetConnection()]
 
@@ -492,14 +492,14 @@
 
 @then("a proof is due until {until:f}")
 def then_due(context, until):
-    assert context.group.proof_due_at(until - 0.01) == until
-    assert context.group.proof_due_at(until) is None
+    assert context.group.first_proof_due_at(until - 0.01) == until
+    assert context.group.first_proof_due_at(until) is None
 
 
 @then("none is due once it is proven")
 def then_none_due(context):
     context.group.proof.renew(20.01)
-    assert context.group.proof_due_at(20.1) is None
+    assert context.group.first_proof_due_at(20.1) is None
 
 
 @given("a catalog of {count:d} routes of urgency 2 and one of urgency 1")
@@ -581,15 +581,15 @@
 class Resting:
     """What the choice looks at in a session."""
 
-    used_at: float
-    at_rest: bool = True
-    dismissed: bool = False
+    last_used_at: float
+    is_idle: bool = True
+    disconnect_requested: bool = False
 
 
 @given("sessions that were used {a:f}, {b:f} and {c:f} s ago")
 def given_used(context, a, b, c):
     # In no order, as they are found.
-    context.resting = [Resting(used_at=100.0 - ago) for ago in (c, a, b)]
+    context.resting = [Resting(last_used_at=100.0 - ago) for ago in (c, a, b)]
 
 
 @then(
--- a/features/steps/session_properties.py
+++ b/features/steps/session_properties.py
@@ -122,9 +122,9 @@
         received=st.just(60),
         applied=st.integers(40, 60),
         asked_at=recently,
-        seen_at=recently,
-        fresh_at=recently,
-        outstanding=st.integers(0, 4),
+        last_response_at=recently,
+        caught_up_at=recently,
+        in_flight=st.integers(0, 4),
     )
 
 
@@ -142,9 +142,9 @@
         applied=st.integers(0, 60),
         leaving=st.booleans(),
         asked_at=instants,
-        seen_at=instants,
-        fresh_at=st.one_of(st.just(NEVER), instants),
-        outstanding=st.integers(0, 4),
+        last_response_at=instants,
+        caught_up_at=st.one_of(st.just(NEVER), instants),
+        in_flight=st.integers(0, 4),
     )
 
 
--- a/features/steps/session_worlds.py
+++ b/features/steps/session_worlds.py
@@ -259,10 +259,10 @@
         vm = self.vms[number]
         if not self.leads(number):
             return
-        vm.keeper.take(self.record)
+        vm.keeper.apply(self.record)
         if any(self.leads_by(c) and not c.over for c in self.changes):
             return
-        known, unsettled = vm.group.leadership, vm.group.unsettled
+        known, unsettled = vm.group.record, vm.group.unsettled
         if unsettled is None:
             return
         reports = {}
@@ -283,7 +283,7 @@
     def judge_settled(self, number, known, reports):
         group = self.vms[number].group
         unsettled = group.unsettled
-        if unsettled is None or group.leadership is not known:
+        if unsettled is None or group.record is not known:
             return
         if not self.leads(number) or any(
             self.leads_by(c) and not c.over for c in self.changes
@@ -340,12 +340,12 @@
 
     def take_rows(self, vm, rows, asked_at):
         vm.read_at = max(vm.read_at, asked_at)
-        vm.keeper.take_relayed(rows, asked_at, self.now)
+        vm.keeper.apply_relayed(rows, asked_at, self.now)
         self.check_proof(vm)
 
     def take(self, vm, record, asked_at):
         vm.read_at = max(vm.read_at, asked_at)
-        vm.keeper.take(record, asked_at)
+        vm.keeper.apply(record, asked_at)
         if record.change is None:
             self.seen.counts["proof_by_store"] += 1
         self.check_proof(vm)
@@ -431,7 +431,7 @@
     # Changes.
 
     def lead(self, number):
-        if not self.leads(number) or not self.record.current:
+        if not self.leads(number) or not self.record.is_current:
             return
         cause = TakeoverCause.UNREACHED if number else TakeoverCause.GONE
         self.begin(number, cause, self.record)
--- a/features/steps/store_restore_steps.py
+++ b/features/steps/store_restore_steps.py
@@ -27,12 +27,12 @@
     fleet = context.stage.fleet
 
     async def restore() -> None:
-        copy = fleet.store.copy()
+        copy = fleet.store.snapshot()
         for _ in range(age):
             await asyncio.sleep(1)
             fleet.write_config()
-        await fleet.lose_newest_writes(
-            copy, away=AWAY_SECONDS, rewritten_after=REWRITTEN_AFTER
+        await fleet.restore_store(
+            copy, outage=AWAY_SECONDS, rewrite_delay=REWRITTEN_AFTER
         )
 
     act(context, after - age, restore)
@@ -89,7 +89,7 @@
 @then("no VM has put an older configuration in force")
 def then_never_older(context: Any) -> None:
     for vm in context.stage.fleet.vms:
-        text = context.stage.fleet.log(vm)
+        text = context.stage.fleet.read_log(vm)
         versions = [
             int(found)
             for found in re.findall(r"event=catalog .*?version=(\d+)", text)
@@ -126,7 +126,7 @@
 
 @then("in {count:d} explored returns a restored record that proves is found")
 def then_found(context: Any, count: int) -> None:
-    with mock.patch.object(PrimaryRecord, "current", True):
+    with mock.patch.object(PrimaryRecord, "is_current", True):
         seen = session_worlds.explore_changes(
             count, finish=True, restores=True
         )
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -78,16 +78,16 @@
     def __init__(self) -> None:
         self.era = 0
         self.now: Callable[[], float] = float
-        self.returned_at: float | None = None
-        self.on_return: list[Callable[[], None]] = []
+        self.restored_at: float | None = None
+        self.on_restored: list[Callable[[], None]] = []
         self.answers = True
         self.puts = 0
         self.answer_from: int | None = None
 
     def come_back(self) -> None:
         self.era += 1
-        self.returned_at = self.now()
-        for callback in self.on_return:
+        self.restored_at = self.now()
+        for callback in self.on_restored:
             callback()
 
     def put(
@@ -137,7 +137,7 @@
 
 @then("it may take no proof")
 def then_no_proof(context: Any) -> None:
-    assert not context.registry.may_take_proofs(context.reactor.now())
+    assert not context.registry.can_take_proofs(context.reactor.now())
 
 
 @when("the store takes its entry")
@@ -148,7 +148,7 @@
 
 @then("it may take proofs again")
 def then_proofs(context: Any) -> None:
-    assert context.registry.may_take_proofs(context.reactor.now())
+    assert context.registry.can_take_proofs(context.reactor.now())
 
 
 @given("a VM whose entry is taken as the store comes back")
@@ -165,10 +165,10 @@
 @then("it files its entry once more before it takes a proof")
 def then_again(context: Any) -> None:
     registry, reactor = context.registry, context.reactor
-    assert not registry.may_take_proofs(reactor.now())
+    assert not registry.can_take_proofs(reactor.now())
     reactor.run(0.1)
     assert context.platform.puts == 2
-    assert registry.may_take_proofs(reactor.now())
+    assert registry.can_take_proofs(reactor.now())
 
 
 class SimPeers:
@@ -177,7 +177,7 @@
     def __init__(self) -> None:
         self.told = 0
 
-    def handle(self, kind: str, handler: Any) -> None:
+    def add_handler(self, kind: str, handler: Any) -> None:
         pass
 
     def ask(
@@ -192,7 +192,7 @@
 class SimRecords:
     """Takes every record."""
 
-    def take(self, record: PrimaryRecord) -> None:
+    def apply(self, record: PrimaryRecord) -> None:
         pass
 
 
@@ -250,7 +250,7 @@
         self.leaving = True
         self.lacks = False
 
-    def may_lack(self, asked_at: float) -> bool:
+    def may_be_incomplete(self, asked_at: float) -> bool:
         return self.lacks
 
     def list(
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -203,10 +203,10 @@
 
 @dataclass(kw_only=True, eq=False)
 class Resting:
-    """A connection at rest since `used_at`."""
+    """A connection at rest since `last_used_at`."""
 
-    used_at: float
-    heard_at: float = 0.0
+    last_used_at: float
+    last_response_at: float = 0.0
 
 
 @given("a pool whose target {manner}")
@@ -366,14 +366,14 @@
     context.connections.max_kept_idle = kept
     for used_at in (0.00, 0.04, 0.02, 0.01, 0.03):
         context.connections.record_opening(used_at, draw=0.5)
-        context.connections.add_opened(Resting(used_at=used_at))
+        context.connections.add_opened(Resting(last_used_at=used_at))
 
 
 @then("at {at:g} those used at {times} are closed")
 def then_closed(context: Any, at: float, times: str) -> None:
     expected = [float(each) for each in times.split(", ")]
-    closed = context.connections.expired(at)
-    assert sorted(conn.used_at for conn in closed) == expected, closed
+    closed = context.connections.take_expired(at)
+    assert sorted(conn.last_used_at for conn in closed) == expected, closed
     assert context.connections.open == context.connections.idle
 
 
@@ -394,7 +394,7 @@
 
 @when("it notices version {version:d} by the way at {at:g}")
 def when_noticed(context: Any, version: int, at: float) -> None:
-    context.keeper.noticed(at, _held(version))
+    context.keeper.on_observed(at, _held(version))
 
 
 @then("it takes the lease at {at:g} and not before")
@@ -406,7 +406,7 @@
         action = keeper.step(now, 0)
         if isinstance(action, ReadLease):
             # The store does not answer.
-            keeper.unanswered(now, now, action)
+            keeper.on_no_answer(now, now, action)
     # It looks at the store every 0.2 s while that does not answer.
     assert at - 0.01 <= now <= at + 0.2, now
 
@@ -430,7 +430,7 @@
 
 @then("the next is waited for {seconds:g} s")
 def then_waited(context: Any, seconds: float) -> None:
-    assert context.times.limit(MOST) == seconds
+    assert context.times.timeout(MOST) == seconds
 
 
 @then(
@@ -438,20 +438,20 @@
 )
 def then_lost(context: Any, one: float, two: float, three: float) -> None:
     for seconds in (one, two, three):
-        context.times.timed_out()
-        assert context.times.limit(MOST) == seconds
+        context.times.record_timeout()
+        assert context.times.timeout(MOST) == seconds
 
 
 @when("the store takes {seconds:g} s from now on")
 def when_slow(context: Any, seconds: float) -> None:
     context.given_up = []
     for _ in range(22):
-        in_time = seconds <= context.times.limit(MOST)
+        in_time = seconds <= context.times.timeout(MOST)
         context.given_up.append(not in_time)
         if in_time:
-            context.times.answered(seconds)
+            context.times.record_answer(seconds)
         else:
-            context.times.timed_out()
+            context.times.record_timeout()
 
 
 @then("the second call is answered and none of the next 20 is given up")
@@ -462,8 +462,8 @@
 @then("{count:d} quick answers later the next is waited for {seconds:g} s")
 def then_quick(context: Any, count: int, seconds: float) -> None:
     for _ in range(count):
-        context.times.answered(0.004)
-    assert context.times.limit(MOST) == seconds
+        context.times.record_answer(0.004)
+    assert context.times.timeout(MOST) == seconds
 
 
 class TimedHttp:
