--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -261,17 +261,17 @@
     def __init__(self) -> None:
         self.calls: list[Any] = []
         self.era = 0
-        self.returned_at: float | None = None
+        self.restored_at: float | None = None
 
-    def may_lack(self, asked_at: float) -> bool:
-        returned_at = self.returned_at
-        lost_until = -1e9 if returned_at is None else returned_at
+    def may_be_incomplete(self, asked_at: float) -> bool:
+        restored_at = self.restored_at
+        lost_until = -1e9 if restored_at is None else restored_at
         return asked_at < lost_until + WRITTEN_AGAIN
 
     def heard(self, era: int, now: float) -> None:
         """Note the era of an answer, as the client does."""
         if era > self.era:
-            self.era, self.returned_at = era, now
+            self.era, self.restored_at = era, now
 
     def list(self, kind: str, purpose: str, on_result: Any) -> None:
         self.calls.append(on_result)
@@ -488,10 +488,10 @@
     keeper.take_relayed(2, 106.9, 106.8, 107.5)
     refused = Unavailable(maybe_applied=False, retry_after=0.1)
     context.vm.platform.calls.pop()(refused)
-    assert keeper.unreachable
+    assert keeper.refresh_failed
     data = other.keeper.as_bytes()
     keeper.take_relayed(2, 106.9, 106.8, 107.5, data)
-    assert not keeper.unreachable
+    assert not keeper.refresh_failed
 
 
 @then("it takes the data from there, in force and confirmed")
@@ -705,14 +705,14 @@
 
 @then("no check has failed")
 def then_no_fault(context: Any) -> None:
-    judge = context.stage.fleet.judge
+    judge = context.stage.fleet.checker
     limits = {
         name: team.limits
         for name, team in context.stage.fleet.teams.items()
         if team.limits is not None
     }
-    context.most = judge.check_limits(limits)
-    assert not judge.wrong, judge.wrong[:5]
+    context.most = judge.check_team_limits(limits)
+    assert not judge.violations, judge.violations[:5]
     assert judge.counts["ran"] > 50
 
 
@@ -726,7 +726,7 @@
         url = f"http://{metrics.group(1)}/metrics"
         with urllib.request.urlopen(url, timeout=5) as page:
             text = context.metrics = page.read().decode()
-        text += fleet.log(vm.name)
+        text += fleet.read_log(vm.name)
         assert "answered" in text
         for key in fleet.caller_keys():
             assert key.key not in text, vm.name
@@ -735,7 +735,7 @@
 @then("logs tell the team of each statement")
 def then_team_logged(context: Any) -> None:
     fleet = context.stage.fleet
-    text = "".join(fleet.log(vm) for vm in fleet.vms)
+    text = "".join(fleet.read_log(vm) for vm in fleet.vms)
     lines = [line for line in text.splitlines() if "event=answered" in line]
     assert lines and all(re.search(r" team=\w", line) for line in lines)
 
@@ -745,8 +745,8 @@
     stage = context.stage
     ran = [
         asked.sent_at - stage.began
-        for asked in stage.fleet.judge.asked.values()
-        if asked.key == "bank-key-kept" and asked.arrived_at is not None
+        for asked in stage.fleet.checker.sent_statements.values()
+        if asked.key == "bank-key-kept" and asked.executed_at is not None
     ]
     assert any(at < 1.0 for at in ran)
     assert any(at > 6.5 for at in ran)
@@ -762,7 +762,7 @@
     fleet = context.stage.fleet
     until = time.monotonic() + 15
     while time.monotonic() < until:
-        logged = [fleet.log(vm) for vm in fleet.vms]
+        logged = [fleet.read_log(vm) for vm in fleet.vms]
         if all("event=quota_holders " in text for text in logged):
             return
         time.sleep(0.1)
--- a/features/steps/session_estate_steps.py
+++ b/features/steps/session_estate_steps.py
@@ -55,12 +55,12 @@
 
     async def dark():
         member = stage.fleet.primary(group)
-        member.dark = True
+        member.unresponsive = True
         link = stage.fleet.links[member.id]
         link.set_mode(mode="silent", direction="both", delay_ms=0)
         watch = asyncio.create_task(stage.watch_promotion(group, member.id))
         await asyncio.sleep(seconds)
-        member.dark = False
+        member.unresponsive = False
         link.set_mode(mode="pass", direction="both", delay_ms=0)
         await watch
 
@@ -174,7 +174,7 @@
     async def leave():
         member = stage.fleet.primary(group)
         member.draining = True
-        stage.fleet.judge.leaving[member.id] = time.monotonic() + 0.5
+        stage.fleet.checker.leaving_since[member.id] = time.monotonic() + 0.5
         await stage.watch_promotion(group, member.id)
 
     act(context, after, leave)
@@ -233,7 +233,7 @@
 @then("every promise was kept")
 def then_kept(context):
     context.stage.play()
-    wrong = context.stage.fleet.judge.wrong
+    wrong = context.stage.fleet.checker.violations
     assert not wrong, "\n".join(wrong[:10])
 
 
@@ -258,7 +258,7 @@
     lines = [
         line
         for vm in fleet.vms
-        for line in fleet.log(vm).splitlines()
+        for line in fleet.read_log(vm).splitlines()
         if " event=answered " not in line and " event=target" not in line
     ]
     return sorted(lines)
@@ -281,8 +281,8 @@
 @then("no statement was cut by the stop")
 def then_uncut(context):
     outcomes = context.stage.outcomes
-    unfinished = "unfinished=0" in context.stage.fleet.log("vm1")
-    assert unfinished, context.stage.fleet.log("vm1")[-2000:]
+    unfinished = "unfinished=0" in context.stage.fleet.read_log("vm1")
+    assert unfinished, context.stage.fleet.read_log("vm1")[-2000:]
     bad = [k for k in outcomes if k.endswith(("INDOUBT", "TIMEOUT"))]
     assert not bad, outcomes
 
@@ -292,10 +292,10 @@
     context.stage.play()
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        if "event=settings_taken" in context.stage.fleet.log(vm):
+        if "event=settings_taken" in context.stage.fleet.read_log(vm):
             return
         time.sleep(0.1)
-    raise AssertionError(context.stage.fleet.log(vm)[-2000:])
+    raise AssertionError(context.stage.fleet.read_log(vm)[-2000:])
 
 
 @then("the metrics of {vm} count statements, waits and proofs")
@@ -315,7 +315,7 @@
     return [
         line
         for vm in stage.fleet.vms
-        for line in stage.fleet.log(vm).splitlines()
+        for line in stage.fleet.read_log(vm).splitlines()
     ]
 
 
@@ -371,4 +371,6 @@
 
 @then("the session soak finds nothing wrong")
 def then_sound(context):
-    assert not context.result.wrong, "\n".join(context.result.wrong[:20])
+    assert not context.result.violations, "\n".join(
+        context.result.violations[:20]
+    )
--- a/features/steps/session_texts_steps.py
+++ b/features/steps/session_texts_steps.py
@@ -86,15 +86,15 @@
         self.asked = []
         self.given_up = 0
 
-    def run(self, session, job, tx, on):
+    def run(self, session, job, tx, on_complete):
         self.asked.append(job)
         if tx is not None:
             tx.leased = object()
-        on(Served(rows=[], signature="s", target="t"), None)
+        on_complete(Served(rows=[], signature="s", target="t"), None)
 
-    def commit(self, session, tx, id, received_at, on):
+    def commit(self, session, tx, id, received_at, on_complete):
         tx.leased = None
-        on(Served(rows=[], signature="s", target="t"), None)
+        on_complete(Served(rows=[], signature="s", target="t"), None)
 
     def roll_back(self, tx):
         if tx.leased is not None:
@@ -113,10 +113,10 @@
     def answer(self, answer):
         self.answers.append(answer)
 
-    def dismiss(self, refusal):
+    def begin_refusal(self, refusal):
         self.answers.append(refusal)
 
-    def conclude(self, state):
+    def finish_refusal(self, state):
         self.answers.append(state)
 
     def close(self):
@@ -171,8 +171,8 @@
 
 @when("it is told to leave")
 def when_told(context):
-    context.session.leave()
-    context.session.leave()
+    context.session.request_disconnect()
+    context.session.request_disconnect()
 
 
 @then("the caller has a refusal and its connection")
@@ -204,7 +204,7 @@
 
 @when("the caller leaves")
 def when_leaves(context):
-    context.session.end()
+    context.session.handle_disconnect()
 
 
 def word_of(outcome):
--- a/features/steps/team_quota_steps.py
+++ b/features/steps/team_quota_steps.py
@@ -278,13 +278,13 @@
 
 @then("the exploration finds a restored choice that counts as it is")
 def then_restored_found(context: Any) -> None:
-    with mock.patch.object(QuotaHolders, "current", True):
+    with mock.patch.object(QuotaHolders, "is_current", True):
         assert any(explore_counting(s, returns=True) for s in range(500))
 
 
 @then("the exploration finds it when a change does not wait")
 def then_no_wait_found(context: Any) -> None:
-    with mock.patch.object(quota_holders, "HANDOVER", 0.0):
+    with mock.patch.object(quota_holders, "HANDOVER_DELAY", 0.0):
         assert any(explore_counting(seed) for seed in range(500))
 
 
@@ -298,7 +298,7 @@
         self.crowd, self.vm = crowd, vm
         self.handlers: dict[str, Any] = {}
 
-    def handle(self, which: str, callback: Any) -> None:
+    def add_handler(self, which: str, callback: Any) -> None:
         self.handlers[which] = callback
 
     def send(self, address: str, message: Any) -> None:
--- a/features/steps/zone_holders_steps.py
+++ b/features/steps/zone_holders_steps.py
@@ -188,11 +188,11 @@
         self.handlers: dict[str, Any] = {}
         self.owed: dict[str, list[float]] = {}
 
-    def silence(self, address: str) -> float | None:
+    def unresponsive_for(self, address: str) -> float | None:
         now = self.crowd.clock.now()
         return max((now - at for at in self.owed.get(address, [])), default=0)
 
-    def handle(self, which: str, callback: Any) -> None:
+    def add_handler(self, which: str, callback: Any) -> None:
         self.handlers[which] = callback
 
     def send(self, address: str, message: Any) -> None:
@@ -589,7 +589,7 @@
 ) -> None:
     assert context.limit.allowed(at) == few
     for _ in range(count):
-        context.limit.served()
+        context.limit.record_success()
     assert context.limit.allowed(at) > more
 
 
@@ -611,8 +611,8 @@
     address=TEXT,
     born=st.integers(0, 2**42),
     values=st.dictionaries(TEXT, TEXT, max_size=3),
-    left=st.integers(0, 9_000_000).map(lambda us: us / 1e6),
-    patience=st.integers(0, 9_000_000).map(lambda us: us / 1e6),
+    remaining=st.integers(0, 9_000_000).map(lambda us: us / 1e6),
+    slot_timeout=st.integers(0, 9_000_000).map(lambda us: us / 1e6),
     urgency=st.integers(0, 9),
     text=st.none() | TEXT,
     shape=st.none() | st.builds(Shape, writes=st.just(False), text=TEXT),
@@ -640,7 +640,7 @@
         retry_after_ms=st.integers(0, 9000),
         message=TEXT,
     )
-    | st.builds(LinkLost, silent=st.booleans())
+    | st.builds(LinkLost, unresponsive=st.booleans())
 )
 
 
