--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -84,10 +84,10 @@
     link = f"entry:{context.entry}"
     caller = caller_at(fleet, context.entry, deadline_ms=500)
     caller.open()
-    fleet.link(link, "freeze", direction="to_client")
+    fleet.set_link_mode(link, "freeze", direction="to_client")
     answer = keyed_write(caller, key)
     assert answer.outcome == "lost", answer
-    fleet.link(link, "pass")
+    fleet.set_link_mode(link, "pass")
 
 
 @when("the answer to a write with key {key} is lost before the holder")
@@ -99,10 +99,10 @@
     for number in range(6):
         assert keyed_write(caller, f"warm up {number}", "other").done
     # Late, not cut: a primary that is not heard at all is soon replaced.
-    fleet.link(link, "delay", direction="to_client", delay_ms=500)
+    fleet.set_link_mode(link, "delay", direction="to_client", delay_ms=500)
     caller.deadline_ms = 250
     context.answer = keyed_write(caller, key)
-    fleet.link(link, "pass")
+    fleet.set_link_mode(link, "pass")
 
 
 @then("that keyed write ended as unknown")
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -90,8 +90,12 @@
         peers=SimpleNamespace(),
         holder=SimpleNamespace(),
         codec=SimpleNamespace(),
-        membership=SimpleNamespace(avoided=lambda holders, now: frozenset()),
-        budget=SimpleNamespace(first_try=lambda: context.tries.append(1)),
+        membership=SimpleNamespace(
+            vms_to_avoid=lambda holders, now: frozenset()
+        ),
+        budget=SimpleNamespace(
+            record_first_attempt=lambda: context.tries.append(1)
+        ),
     )
 
 
@@ -119,8 +123,8 @@
         codec=SimpleNamespace(),
         transaction_idle_timeout=1.0,
         budget=SimpleNamespace(
-            first_try=lambda: context.tries.append(1),
-            may_retry=lambda: False,
+            record_first_attempt=lambda: context.tries.append(1),
+            spend_retry=lambda: False,
         ),
     )
 
@@ -179,7 +183,7 @@
 
 @given("nothing is left in its retry budget")
 def given_spent(context: Any) -> None:
-    while context.budget.may_retry():
+    while context.budget.spend_retry():
         pass
 
 
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -130,7 +130,9 @@
 )
 def given_row(context: Any, slots: int, count: int) -> None:
     row = {"max_slots": slots, "max_connections": count}
-    begin_fleet(context, 3, rows={GROUP: row}, estate={"statement_ms": 3})
+    begin_fleet(
+        context, 3, table_rows={GROUP: row}, estate={"statement_ms": 3}
+    )
 
 
 @when("there is load while holders leave, die and come back")
@@ -282,7 +284,7 @@
     context.silenced = name
     context.opened = fleet.counters(name)["opened_connections"]
     context.silent_at = time.monotonic()
-    fleet.link(f"target:{name}", "silent")
+    fleet.set_link_mode(f"target:{name}", "silent")
 
 
 @when("the load stops and all connections to the primary go silent")
@@ -345,7 +347,7 @@
 
 @dataclasses.dataclass
 class Conn:
-    heard_at: float
+    last_response_at: float
 
 
 def lose_and_reopen(events: list[tuple[str, float]]) -> None:
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -108,9 +108,10 @@
 @when("connections to the second member go silent under load")
 def when_silent(context: Any) -> None:
     under_load(
-        context, lambda: context.fleet.link(f"target:{SECOND}", "silent")
+        context,
+        lambda: context.fleet.set_link_mode(f"target:{SECOND}", "silent"),
     )
-    context.fleet.link(f"target:{SECOND}", "pass")
+    context.fleet.set_link_mode(f"target:{SECOND}", "pass")
 
 
 @when("the second member says that it is leaving")
--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -127,7 +127,7 @@
         process.watch.tick(now=self.now)
         for ask in process.shares.tick(now=self.now):
             self.asks.append((name, process, ask))
-        if process.watch.cut_off:
+        if process.watch.is_isolated:
             process.set_used(0)
 
     def stop_replaced(self, name, since):
@@ -274,7 +274,11 @@
 def agree_to_all(self, *, now, vm, revision, holders):
     held = {"t": self.held("t")}
     return Reply(
-        vm=self.watch.me, agrees=True, informed=True, revision=99, held=held
+        vm=self.vm_list_monitor.local_vm_name,
+        agrees=True,
+        informed=True,
+        revision=99,
+        held=held,
     )
 
 
@@ -331,12 +335,12 @@
 def see(context, holders, peers):
     context.revision += 1
     for shares in context.shares.values():
-        shares.watch.see(
+        shares.vm_list_monitor.update(
             now=context.now,
             revision=context.revision,
             listed=frozenset(peers),
         )
-        shares.see(
+        shares.update(
             now=context.now,
             holders=tuple(holders),
             peers=frozenset(peers),
@@ -346,7 +350,7 @@
 
 def exchange(context, cut=""):
     for name, shares in context.shares.items():
-        shares.watch.tick(now=context.now)
+        shares.vm_list_monitor.tick(now=context.now)
         for ask in shares.tick(now=context.now):
             if name in cut or ask.vm in cut:
                 continue
@@ -378,7 +382,7 @@
     first = context.shares["a"]
     for _ in range(20):
         context.now += 0.1
-        first.watch.tick(now=context.now)
+        first.vm_list_monitor.tick(now=context.now)
         for ask in first.tick(now=context.now):
             deliver_until_served(context, "a", ask)
         if first.allowed("t") != TargetCapacity():
@@ -392,7 +396,7 @@
     if context.shares["a"].allowed("t") != TargetCapacity():
         return
     asker, other = context.shares[name], context.shares[ask.vm]
-    other.watch.tick(now=context.now)
+    other.vm_list_monitor.tick(now=context.now)
     reply = other.answer(
         now=context.now,
         vm=name,
--- a/features/steps/silent_targets_steps.py
+++ b/features/steps/silent_targets_steps.py
@@ -56,7 +56,7 @@
 )
 def when_frozen(context: Any, count: int) -> None:
     for name in context.fleet.targets:
-        context.fleet.link(f"target:{name}", "freeze")
+        context.fleet.set_link_mode(f"target:{name}", "freeze")
     context.rows = range(1000, 1000 + count)
     works = [partial(write_row, context, row) for row in context.rows]
     context.answers = in_threads(works)
@@ -78,7 +78,7 @@
 @when("the links pass again")
 def when_pass(context: Any) -> None:
     for name in context.fleet.targets:
-        context.fleet.link(f"target:{name}", "pass")
+        context.fleet.set_link_mode(f"target:{name}", "pass")
 
 
 @then("a write is done, and what was called not run is at no target")
@@ -134,7 +134,7 @@
     context.flight = Flight()
     context.flight.sent_on = SimpleNamespace(
         target=SimpleNamespace(name=TARGET),
-        silent=False,
+        unresponsive=False,
         conn=SimpleNamespace(close=lambda: context.closed.append(1)),
     )
     flights.add(GROUP, context.flight)
@@ -144,7 +144,7 @@
     end = context.timers.time + seconds
     while context.timers.time < end:
         if heard:
-            context.group.state(TARGET).seen_at = context.timers.time
+            context.group.state(TARGET).last_response_at = context.timers.time
         context.timers.step()
 
 
@@ -156,7 +156,7 @@
 @when("the target is silent for 2 s at one look and heard before the next")
 def when_once(context: Any) -> None:
     state = context.group.state(TARGET)
-    state.seen_at = context.timers.time - 2.1
+    state.last_response_at = context.timers.time - 2.1
     context.timers.step()
     look_for(context, 1, heard=True)
 
@@ -174,4 +174,4 @@
 @then("the write's connection is closed as a silent one")
 def then_closed(context: Any) -> None:
     assert context.closed
-    assert context.flight.sent_on.silent
+    assert context.flight.sent_on.unresponsive
--- a/features/steps/silent_transaction_steps.py
+++ b/features/steps/silent_transaction_steps.py
@@ -40,7 +40,7 @@
 @when("the open connections to the primary go silent")
 def when_silent(context: Any) -> None:
     primary = context.fleet.primary(GROUP)
-    context.fleet.link(f"target:{primary}", "silent")
+    context.fleet.set_link_mode(f"target:{primary}", "silent")
 
 
 @when("that caller goes on with its transaction")
--- a/features/steps/transaction_steps.py
+++ b/features/steps/transaction_steps.py
@@ -232,7 +232,7 @@
     context.caller = caller_at(fleet, context.entry, deadline_ms=500)
     context.handle = context.caller.begin(GROUP).transaction
     link = f"entry:{context.entry}"
-    fleet.link(link, "freeze", direction="to_client")
+    fleet.set_link_mode(link, "freeze", direction="to_client")
     answer = context.caller.statement(GROUP, context.handle, INSERT, [BODY])
     assert answer.outcome == "lost", answer
     fleet.kill(context.entry)
@@ -271,10 +271,10 @@
 
     def cut(holder: str) -> None:
         held.append(f"peers:{holder}")
-        fleet.link(held[0], "freeze", direction="to_client")
+        fleet.set_link_mode(held[0], "freeze", direction="to_client")
 
     context.answer = run_keyed(caller, key, cut)
-    fleet.link(held[0], "pass")
+    fleet.set_link_mode(held[0], "pass")
 
 
 @then("that commit is unknown")
@@ -362,7 +362,7 @@
     for number in range(3):
         delay = 0 if number == 1 else late
         for target in fleet.targets:
-            fleet.link(
+            fleet.set_link_mode(
                 f"target:{target}",
                 "delay" if delay else "pass",
                 direction="to_client",
@@ -375,7 +375,7 @@
         for pairs in in_threads(works):
             context.pairs += pairs
     for target in fleet.targets:
-        fleet.link(f"target:{target}", "pass")
+        fleet.set_link_mode(f"target:{target}", "pass")
 
 
 @then("every answered read has its own number")
@@ -447,7 +447,7 @@
 def then_unknown_soon(context: Any, seconds: int) -> None:
     for _, answer in context.timed:
         if answer.outcome == "unknown":
-            assert answer.seconds < seconds, answer
+            assert answer.elapsed < seconds, answer
 
 
 @then("writes that began during the change were done after it")
@@ -455,6 +455,6 @@
     waited = [
         answer
         for began, answer in context.timed
-        if began > context.frozen_at and answer.done and answer.seconds > 0.5
+        if began > context.frozen_at and answer.done and answer.elapsed > 0.5
     ]
     assert waited, "no write waited for the new primary and went on"
