--- a/features/steps/comparison_steps.py
+++ b/features/steps/comparison_steps.py
@@ -34,7 +34,7 @@
         self._sent = sent
         self.handlers: dict[str, Any] = {}
 
-    def handle(self, which: str, callback: Any) -> None:
+    def add_handler(self, which: str, callback: Any) -> None:
         """Register a handler."""
         self.handlers[which] = callback
 
@@ -83,8 +83,8 @@
             peers=peers,
             store=SimpleNamespace(
                 on_change=[],
-                take_shard_value=self.take_shard,
-                take_vms=self.take_vms,
+                apply_shard_value=self.take_shard,
+                apply_vms=self.take_vms,
             ),
             membership=Membership(),
             interval=2.0,
@@ -184,7 +184,7 @@
 def then_newest(context: Any) -> None:
     for comparer in context.comparers:
         found = version_list(comparer)
-        assert found == context.newest, (comparer.board.me.name, found)
+        assert found == context.newest, (comparer.board.local_vm.name, found)
 
 
 @then("the answer tells all versions")
--- a/features/steps/double_faults_steps.py
+++ b/features/steps/double_faults_steps.py
@@ -38,14 +38,14 @@
 @when("the platform's answers to the steward are late")
 def answers_late(context: Any) -> None:
     context.late = f"platform:{leader_of(context)()}"
-    context.fleet.link(
+    context.fleet.set_link_mode(
         context.late, "delay", direction="to_client", delay_ms=LATE_MS
     )
 
 
 @when("the platform's answers are late no more")
 def answers_at_once(context: Any) -> None:
-    context.fleet.link(context.late, "pass")
+    context.fleet.set_link_mode(context.late, "pass")
 
 
 @when("the steward is killed once a term without a primary is stored")
--- a/features/steps/lease_machine.py
+++ b/features/steps/lease_machine.py
@@ -312,12 +312,12 @@
         "holds",
         lambda keeper, now: now < keeper.valid_until,
     ),
-    "count_lease_from_answer": ("stored", _stored_from_answer),
+    "count_lease_from_answer": ("on_stored", _stored_from_answer),
     "take_lease_too_early": (
         "_free_at",
         lambda keeper: keeper._seen_at + 1.0,
     ),
-    "trust_unanswered_renewal": ("unanswered", _forget_unanswered),
+    "trust_unanswered_renewal": ("on_no_answer", _forget_unanswered),
     "renew_lease_of_earlier_era": (
         "_keeps",
         lambda keeper, now: keeper._is_mine(),
--- a/features/steps/names_known_steps.py
+++ b/features/steps/names_known_steps.py
@@ -33,7 +33,7 @@
         board=board,
         placement=context.placement,
         peers=SimpleNamespace(
-            handle=lambda kind, handler: None,
+            add_handler=lambda kind, handler: None,
             ask=lambda *args: context.asked.append(args[-1]),
         ),
         platform=SimpleNamespace(),
--- a/features/steps/names_steps.py
+++ b/features/steps/names_steps.py
@@ -101,7 +101,7 @@
 
     def choose(self, process: Any) -> None:
         listed = self.lists[process.seen]
-        process.shares.see(
+        process.shares.update(
             now=self.now,
             holders=holders_of(listed, getattr(process, "step", 0)),
             peers=self.asked(listed),
@@ -202,10 +202,10 @@
 
 @then("the one alone by chance gives up its shares and the other goes on")
 def then_one_goes_on(context: Any) -> None:
-    assert context.watch.cut_off
-    assert not context.single.cut_off
+    assert context.watch.is_isolated
+    assert not context.single.is_isolated
 
 
 @then("it gives up its shares")
 def then_gives_up(context: Any) -> None:
-    assert context.watch.cut_off
+    assert context.watch.is_isolated
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -249,13 +249,13 @@
 @then("the VM has its {count:d} VMs, and the platform counts as read")
 def then_read(context: Any, count: int) -> None:
     assert len(context.board.vms) == count, context.board.vms
-    assert context.board.vms_seen_at == context.now
+    assert context.board.vms_confirmed_at == context.now
 
 
 @then("the VM has its {count:d} VMs, and the platform does not count as read")
 def then_not_read(context: Any, count: int) -> None:
     assert len(context.board.vms) == count, context.board.vms
-    assert context.board.vms_seen_at < context.now
+    assert context.board.vms_confirmed_at < context.now
 
 
 @given("a platform stand-in with its list of VMs at revision 3")
--- a/features/steps/primary_change_steps.py
+++ b/features/steps/primary_change_steps.py
@@ -73,7 +73,7 @@
 
 @when("the primary is cut off for the change")
 def cut_primary(context: Any) -> None:
-    context.fleet.link(f"target:{context.primary}", "cut")
+    context.fleet.set_link_mode(f"target:{context.primary}", "cut")
     break_primary(context)
 
 
@@ -124,7 +124,7 @@
 @when("the answers of the member that stays come {delay:d} ms late")
 def delay_answers(context: Any, delay: int) -> None:
     context.stays = context.fleet.replicas(GROUP)[1]
-    context.fleet.link(
+    context.fleet.set_link_mode(
         f"target:{context.stays}",
         "delay",
         direction="to_client",
@@ -203,7 +203,7 @@
 
 @when("the answers come in time again")
 def heal_answers(context: Any) -> None:
-    context.fleet.link(f"target:{context.stays}", "pass")
+    context.fleet.set_link_mode(f"target:{context.stays}", "pass")
 
 
 @when("the frozen member wakes")
@@ -218,7 +218,7 @@
 
 @when("the network of the old primary heals")
 def heal_primary(context: Any) -> None:
-    context.fleet.link(f"target:{context.primary}", "pass")
+    context.fleet.set_link_mode(f"target:{context.primary}", "pass")
 
 
 def stored_rows(context: Any, target: str) -> set[int]:
@@ -358,7 +358,7 @@
 def slow_everything(context: Any) -> None:
     context.fleet.set_platform_faults(slow_ms=200)
     link = f"target:{context.primary}"
-    context.fleet.link(link, "delay", delay_ms=20)
+    context.fleet.set_link_mode(link, "delay", delay_ms=20)
 
 
 @when("each VM in turn is paused for 5 seconds")
@@ -411,15 +411,15 @@
 def cut_off_vm(context: Any) -> None:
     fleet = context.fleet
     wait_own_writes(context)
-    fleet.link("platform:vm-1", "freeze")
+    fleet.set_link_mode("platform:vm-1", "freeze")
     for name in fleet.vms:
-        fleet.link(f"peers:{name}", "cut")
+        fleet.set_link_mode(f"peers:{name}", "cut")
     # The other VMs are on the far side of the cut; what they would do there
     # is done by the next step, so they need not run.
     for name in ("vm-2", "vm-3"):
         fleet.freeze(name)
     for name in fleet.replicas(GROUP):
-        fleet.link(f"target:{name}", "cut")
+        fleet.set_link_mode(f"target:{name}", "cut")
 
 
 def write_through(context: Any, row: int) -> CallerAnswer:
@@ -487,11 +487,11 @@
 @when("the network of vm-1 heals")
 def heal_vm(context: Any) -> None:
     fleet = context.fleet
-    fleet.link("platform:vm-1", "pass")
+    fleet.set_link_mode("platform:vm-1", "pass")
     for name in fleet.vms:
-        fleet.link(f"peers:{name}", "pass")
+        fleet.set_link_mode(f"peers:{name}", "pass")
     for name in fleet_others(context):
-        fleet.link(f"target:{name}", "pass")
+        fleet.set_link_mode(f"target:{name}", "pass")
     for name in ("vm-2", "vm-3"):
         fleet.thaw(name)
 
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -249,20 +249,20 @@
 def when_main_frozen(context: Any) -> None:
     context.fleet.freeze("vm-1")
     # Else the platform's answer with the next edit would wait for it.
-    context.fleet.link("platform:vm-1", "cut")
+    context.fleet.set_link_mode("platform:vm-1", "cut")
 
 
 @when("the main process of vm-1 goes on, cut off, with the older version")
 def when_main_thawed(context: Any) -> None:
     for link in ("peers:vm-2", "peers:vm-3"):
-        context.fleet.link(link, "cut")
+        context.fleet.set_link_mode(link, "cut")
     context.fleet.thaw("vm-1")
     # Long enough for the entry-only process to compare with it again.
     time.sleep(3 * REPORT_INTERVAL)
     older = _main_status(context)["shards"][str(shard_of(GROUP))]
     assert older < context.version, (older, context.version)
     for link in ("platform:vm-1", "peers:vm-2", "peers:vm-3"):
-        context.fleet.link(link, "pass")
+        context.fleet.set_link_mode(link, "pass")
     _wait_main_knows(context)
 
 
@@ -488,7 +488,7 @@
     def __init__(self) -> None:
         self.names: list[str] = []
 
-    def handle(self, _kind: str, _handler: Any) -> None:
+    def add_handler(self, _kind: str, _handler: Any) -> None:
         pass
 
     def send(self, _address: str, _message: Any) -> None:
--- a/features/steps/promotion_faults.py
+++ b/features/steps/promotion_faults.py
@@ -95,11 +95,15 @@
         _stopped_minority,
     ),
     "promote_first_that_answers": (
-        promotion,
+        primary_change,
         "choose_primary",
         _choose_first,
     ),
-    "trust_unanswered_update": (PrimaryChange, "unanswered", _trust_update),
+    "trust_unanswered_update": (
+        PrimaryChange,
+        "on_update_unanswered",
+        _trust_update,
+    ),
     "promote_another_at_same_term": (PrimaryChange, "tick", _promote_another),
     "take_other_stewards_term_for_own": (
         PrimaryChange,
--- a/features/steps/regions_steps.py
+++ b/features/steps/regions_steps.py
@@ -45,7 +45,7 @@
 def two_regions(context: Any, place: str) -> None:
     # The fleet makes the first member primary.
     away = f"{GROUP}-m1" if place == "far" else f"{GROUP}-m3"
-    fleet = start_fleet(context, vms=6, far=(*FAR_VMS, away))
+    fleet = start_fleet(context, vms=6, remote_names=(*FAR_VMS, away))
     context.primary = fleet.primary(GROUP)
     context.far_target = away
     context.rows = itertools.count(PROBE_ROWS)
@@ -81,15 +81,15 @@
     places = {f"target:{name}": name for name in fleet.targets}
     places |= {f"peers:{name}": name for name in fleet.vms}
     for link, name in places.items():
-        away = name in fleet.estate.far
-        fleet.link(
+        away = name in fleet.topology.remote_names
+        fleet.set_link_mode(
             link,
             mode,
             direction=by_near if away else by_far,
             source=LOCAL_REGION_ADDRESS if away else REMOTE_REGION_ADDRESS,
         )
     for name in FAR_VMS:
-        fleet.link(f"platform:{name}", mode, direction=by_far)
+        fleet.set_link_mode(f"platform:{name}", mode, direction=by_far)
 
 
 @when("the lease goes to the near region's only holder")
@@ -112,7 +112,7 @@
             name=vm.name,
             address=vm.peers,
             availability_zone=vm.zone,
-            region=fleet.estate.region_of(vm.name),
+            region=fleet.topology.region_of(vm.name),
         )
         for vm in fleet.vms.values()
     ]
--- a/features/steps/target_polls_steps.py
+++ b/features/steps/target_polls_steps.py
@@ -23,8 +23,8 @@
 from bamboospring.rendezvous import Placement
 from bamboospring.target_api import decode_probe
 from bamboospring import target_orders
+from bamboospring import target_watcher
 from bamboospring.target_watcher import TargetWatcher
-from bamboospring import watcher as watcher_module
 
 WAIT_MS = 150
 STATE = "00ff00ff00ff00ff"
@@ -147,7 +147,7 @@
     board.groups["ledger"] = context.group
     context.client = FakeClient()
     with mock.patch.object(
-        watcher_module, "HttpClient", lambda **_: context.client
+        target_watcher, "HttpClient", lambda **_: context.client
     ):
         context.watcher = TargetWatcher(
             reactor=reactor, board=board, placement=placement
@@ -185,7 +185,7 @@
 @then("the primary was heard at the last of them, with its positions")
 def then_heard(context: Any) -> None:
     state = context.group.state("m1")
-    assert state.seen_at == context.now, state
+    assert state.last_response_at == context.now, state
     assert (state.received, state.applied) == (120, 110), state
 
 
@@ -207,7 +207,7 @@
 
 @then("the primary was not heard again")
 def then_not_heard(context: Any) -> None:
-    assert context.group.state("m1").seen_at == context.heard_at
+    assert context.group.state("m1").last_response_at == context.heard_at
 
 
 @then("the next question names nothing")
