--- a/bamboospring/sessions/change_finisher.py
+++ b/bamboospring/sessions/change_finisher.py
@@ -1,4 +1,7 @@
-"""Look after changes of primary that their leader has left unfinished."""
+"""Finish changes of primary that their leader has left unfinished.
+
+See `overdue_change` for the decisions.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.overdue_change import finished_record
+from bamboospring.sessions.overdue_change import is_finisher
 from bamboospring.sessions.overdue_change import is_overdue
-from bamboospring.sessions.overdue_change import takes_part
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.proofs import TargetReport
@@ -27,16 +30,16 @@
 
 __all__ = ["ChangeFinisher"]
 
-# Seconds between two looks at a group, and the time for an answer.
-INTERVAL = 0.2
-TIMEOUT = 0.5
+# Seconds between two checks of a group, and the timeout of an answer.
+CHECK_INTERVAL = 0.2
+REPORT_TIMEOUT = 0.5
 STORE_TIMEOUT = 1.0
 
 
 class ChangeFinisher:
-    """Asks targets of overdue changes, and records who leads already.
+    """Asks the targets of overdue changes, and records a new primary.
 
-    `draw` is a number of this process's own that tells it from others.
+    `nonce_hash` is a number that differs between processes.
     """
 
     def __init__(
@@ -48,7 +51,7 @@
         questions: TargetControl,
         records: RecordKeeper,
         releases: ProofReleases,
-        draw: int,
+        nonce_hash: int,
     ) -> None:
         self._reactor = reactor
         self._board = board
@@ -56,37 +59,37 @@
         self._questions = questions
         self._records = records
         self._releases = releases
-        self._draw = draw
-        self._looked_at: dict[str, float] = {}
+        self._nonce_hash = nonce_hash
+        self._checked_at: dict[str, float] = {}
         self._busy: set[str] = set()
 
     def tick(self) -> None:
-        """Look at the groups whose change is overdue."""
-        if not takes_part(self._draw, self._board.vm_count):
+        """Check the groups whose change is overdue."""
+        if not is_finisher(self._nonce_hash, self._board.vm_count):
             return
         now = self._reactor.now()
         for group in self._board.groups.values():
-            looked = now - self._looked_at.get(group.name, -1e9)
-            if looked < INTERVAL or group.name in self._busy:
+            elapsed = now - self._checked_at.get(group.name, -1e9)
+            if elapsed < CHECK_INTERVAL or group.name in self._busy:
                 continue
             if is_overdue(group, now):
-                self._looked_at[group.name] = now
-                self._look(group)
+                self._checked_at[group.name] = now
+                self._ask_targets(group)
 
-    def _look(self, group: SessionGroup) -> None:
+    def _ask_targets(self, group: SessionGroup) -> None:
         record = group.record
         assert record is not None
         others = [name for name in group.targets if name != record.primary]
         reports: dict[str, TargetReport] = {}
-        left = set(others)
+        remaining = set(others)
 
-        def heard(name: str, result: TargetReport | NoReport) -> None:
-            left.discard(name)
+        def handle(name: str, result: TargetReport | NoReport) -> None:
+            remaining.discard(name)
             if isinstance(result, TargetReport):
                 reports[name] = result
-            if not left:
+            if not remaining:
                 self._busy.discard(group.name)
-                self._judge(group, record, reports)
+                self._store_if_finished(group, record, reports)
 
         if others:
             self._busy.add(group.name)
@@ -95,18 +98,18 @@
                 group,
                 name,
                 AskReport(),
-                TIMEOUT,
-                lambda result, name=name: heard(name, result),  # type: ignore
+                REPORT_TIMEOUT,
+                lambda result, name=name: handle(name, result),  # type: ignore
             )
 
-    def _judge(
+    def _store_if_finished(
         self,
         group: SessionGroup,
         record: PrimaryRecord,
         reports: dict[str, TargetReport],
     ) -> None:
         if group.record is not record:
-            # Another record has come in meanwhile.
+            # Another record arrived in the meantime.
             return
         finished = finished_record(record, reports)
         if finished is not None:
--- a/bamboospring/sessions/group_records.py
+++ b/bamboospring/sessions/group_records.py
@@ -1,4 +1,4 @@
-"""The groups' records as the platform's store keeps them."""
+"""Encode and decode the groups' records in the platform's store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.store_version import version_text
 
-__all__ = ["RECORD_KIND", "encode_record", "read_record"]
+__all__ = ["RECORD_KIND", "encode_record", "decode_record"]
 
 RECORD_KIND = "groups"
 
@@ -39,7 +39,7 @@
 
 
 def encode_record(record: PrimaryRecord) -> dict[str, Any]:
-    """Return the value to store."""
+    """Return a record as a value to store."""
     change = record.change
     return {
         "term": record.term,
@@ -59,8 +59,8 @@
     }
 
 
-def read_record(found: Found) -> PrimaryRecord | None:
-    """Read a stored record; None, with a log line, if it is none."""
+def decode_record(found: Found) -> PrimaryRecord | None:
+    """Decode a stored record; log an error and return None if invalid."""
     try:
         raw = _Record.model_validate(found.value)
     except ValidationError as exc:
--- a/bamboospring/sessions/leader.py
+++ b/bamboospring/sessions/leader.py
@@ -1,4 +1,4 @@
-"""Watch all primaries, on the one VM that holds the lease for it."""
+"""Monitor all primaries, on the VM that holds the leader lease."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import PromotionOrders
-from bamboospring.sessions.primary_health import first_record
-from bamboospring.sessions.primary_health import PrimarySight
+from bamboospring.sessions.primary_health import initial_record
+from bamboospring.sessions.primary_health import PrimaryHealth
 from bamboospring.sessions.primary_health import replacement_cause
 from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.quota_holders import QuotaVm
 from bamboospring.sessions.quota_keeper import QuotaKeeper
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.record_settler import Settler
+from bamboospring.sessions.record_settler import RecordSettler
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.takeover_runner import TakeoverRunner
 from bamboospring.sessions.target_control import NoReport
@@ -39,26 +39,32 @@
 
 __all__ = ["Leader"]
 
-TICK = 0.1
-# Seconds between questions to a primary, and the time for each.
-LOOK_INTERVAL = 0.35
-LOOK_TIMEOUT = 0.8
-ROLE_INTERVAL = 2.0
-# A primary that has left statements without a word for so many seconds is
-# asked how it is: a refused port shows at once that it has failed.
-LOOK_AFTER = 0.15
+TICK_INTERVAL = 0.1
+# Seconds between two checks of a primary, and the timeout of each.
+CHECK_INTERVAL = 0.35
+CHECK_TIMEOUT = 0.8
+# Interval of the checks while answers to statements show that it works.
+ROLE_CHECK_INTERVAL = 2.0
+# A primary that has not answered statements for this many seconds is checked:
+# a refused connection shows at once that it has failed.
+UNANSWERED_CHECK_DELAY = 0.15
 STORE_TIMEOUT = 1.0
-# Seconds between two looks at the list of VMs, and the first of them, each
-# twice the one before: a fleet that has just started is listed while it still
-# grows, and how many VMs there are decides how they share connections.
-TIDY_INTERVAL = 10.0
-FIRST_TIDY_INTERVAL = 1.0
-# A change that ended without a new primary is begun again after this.
-TRY_AGAIN = 0.5
+# Seconds between two reads of the list of VMs. The interval starts at
+# FIRST_VM_LIST_INTERVAL and doubles each time: the list of a fleet that has
+# just started is still growing, and the number of VMs decides how they share
+# the connections to targets.
+VM_LIST_INTERVAL = 10.0
+FIRST_VM_LIST_INTERVAL = 1.0
+# Seconds after the end of a change before the next one for the same group.
+RETRY_DELAY = 0.5
 
 
 class Leader:
-    """What the VM that holds the lease does: it watches all primaries."""
+    """Monitors all primaries and replaces those that fail.
+
+    It acts only while this VM holds the leader lease. Without the lease it
+    finishes changes that another leader left unfinished.
+    """
 
     def __init__(
         self,
@@ -82,11 +88,11 @@
         self._missing_since = missing_since
         self._registry = registry
         self._releases = releases
-        self._tidied_at = -1e9
-        self._tidy_interval = FIRST_TIDY_INTERVAL
-        self._sights: dict[str, tuple[str, PrimarySight]] = {}
-        self._looked_at: dict[str, float] = {}
-        self._begin_after: dict[str, float] = {}
+        self._vms_listed_at = -1e9
+        self._vm_list_interval = FIRST_VM_LIST_INTERVAL
+        self._health_by_group: dict[str, tuple[str, PrimaryHealth]] = {}
+        self._checked_at: dict[str, float] = {}
+        self._retry_at: dict[str, float] = {}
         self._quotas = QuotaKeeper(
             reactor=reactor,
             board=board,
@@ -109,9 +115,9 @@
             questions=questions,
             records=records,
             releases=releases,
-            draw=zlib.crc32(registry.local_vm.nonce.encode()),
+            nonce_hash=zlib.crc32(registry.local_vm.nonce.encode()),
         )
-        self._changes = TakeoverRunner(
+        self._takeovers = TakeoverRunner(
             reactor=reactor,
             board=board,
             platform=platform,
@@ -122,71 +128,73 @@
             lease=self.lease,
             on_ended=self._change_ended,
         )
-        self._settler = Settler(
+        self._settler = RecordSettler(
             reactor=reactor,
             platform=platform,
             questions=questions,
             records=records,
             releases=releases,
-            leads=lambda: self.lease.is_held,
-            on_settled=self._changes.put_right,
+            is_leader=lambda: self.lease.is_held,
+            on_settled=self._takeovers.reconcile,
             on_disagreed=self._replace_unsettled,
         )
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start the periodic checks."""
         self._tick()
 
     def _tick(self) -> None:
-        # Armed first: a fault in one round must not end all that follow.
-        self._reactor.call_later(TICK, self._tick)
+        # Scheduled first: an exception must not stop all later rounds.
+        self._reactor.call_later(TICK_INTERVAL, self._tick)
         self.lease.step()
         if self.lease.is_held:
-            self._lead()
+            self._check_groups()
             self._quotas.restore()
-            self._tidy()
+            self._refresh_vms()
         else:
             self._finisher.tick()
 
-    def _lease_changed(self, leads: bool) -> None:
-        if leads:
-            # The others are told at once.
-            self._tidied_at = -1e9
-            self._tidy_interval = FIRST_TIDY_INTERVAL / 2
-            self._changes.put_all_right()
+    def _lease_changed(self, is_held: bool) -> None:
+        if is_held:
+            # Due at once, so that the other VMs learn of the new leader.
+            self._vms_listed_at = -1e9
+            self._vm_list_interval = FIRST_VM_LIST_INTERVAL / 2
+            self._takeovers.reconcile_all()
         else:
-            self._changes.drop_all()
+            self._takeovers.drop_all()
 
     def _change_ended(self, group: SessionGroup) -> None:
-        self._sights.pop(group.name, None)
-        self._begin_after[group.name] = self._reactor.now() + TRY_AGAIN
+        self._health_by_group.pop(group.name, None)
+        self._retry_at[group.name] = self._reactor.now() + RETRY_DELAY
 
-    def _tidy(self) -> None:
-        """Keep the list of VMs, and remove those that have long gone."""
+    def _refresh_vms(self) -> None:
+        """Refresh the list of VMs if due, and remove expired entries."""
         now = self._reactor.now()
-        if now - self._tidied_at < self._tidy_interval:
+        if now - self._vms_listed_at < self._vm_list_interval:
             return
-        self._tidied_at = now
-        self._tidy_interval = min(TIDY_INTERVAL, self._tidy_interval * 2)
+        self._vms_listed_at = now
+        self._vm_list_interval = min(
+            VM_LIST_INTERVAL, self._vm_list_interval * 2
+        )
 
-        def listed(vms: dict[str, ListedVm] | None) -> None:
+        def on_listed(vms: dict[str, ListedVm] | None) -> None:
             if vms is not None:
-                self._releases.tell_leading(
+                self._releases.announce_leader(
                     self.lease.last_seen_lease().version
                 )
                 self._board.vm_count = max(1, len(vms))
-                self._registry.remove_lapsed(now)
+                self._registry.remove_expired(now)
                 self._quotas.update(map(_as_quota_vm, vms.values()))
 
-        self._registry.refresh(listed)
+        self._registry.refresh(on_listed)
 
-    def _lead(self) -> None:
+    def _check_groups(self) -> None:
         now = self._reactor.now()
         for group in list(self._board.groups.values()):
-            if not group.targets or self._changes.tick(group):
+            if not group.targets or self._takeovers.tick(group):
                 continue
             if group.record is None:
-                self._record_first(group)
+                self._create_record(group)
             elif group.unsettled is not None:
                 self._settler.tick(group)
             else:
@@ -196,130 +204,152 @@
         self, group: SessionGroup, record: PrimaryRecord
     ) -> None:
         now = self._reactor.now()
-        if now >= self._begin_after.get(group.name, -1e9):
-            self._changes.begin(group, record, TakeoverCause.UNSETTLED, now)
+        if now >= self._retry_at.get(group.name, -1e9):
+            self._takeovers.begin(group, record, TakeoverCause.UNSETTLED, now)
 
     def _watch(
         self, group: SessionGroup, record: PrimaryRecord, now: float
     ) -> None:
-        sight = self._sight(group, record)
-        sight.missing_at = self._missing_since(record.primary)
-        if record.primary not in group.targets and sight.missing_at is None:
-            # Gone before this process began to look.
-            sight.missing_at = -1e9
-        self._take_connections(group, record, sight)
-        if self._should_look(group, record, sight, now):
-            self._looked_at[group.name] = now
-            self._look(group, record, sight, now)
-        cause = replacement_cause(group, sight, now)
-        if cause is None or now < self._begin_after.get(group.name, -1e9):
+        health = self._health(group, record)
+        health.missing_since = self._missing_since(record.primary)
+        if (
+            record.primary not in group.targets
+            and health.missing_since is None
+        ):
+            # The entry was removed before this process started.
+            health.missing_since = -1e9
+        self._update_from_connections(group, record, health)
+        if self._should_check(group, record, health, now):
+            self._checked_at[group.name] = now
+            self._check_primary(group, record, health, now)
+        cause = replacement_cause(group, health, now)
+        if cause is None or now < self._retry_at.get(group.name, -1e9):
             return
-        self._changes.begin(group, record, cause, now)
+        self._takeovers.begin(group, record, cause, now)
 
-    def _take_connections(
-        self, group: SessionGroup, record: PrimaryRecord, sight: PrimarySight
+    def _update_from_connections(
+        self, group: SessionGroup, record: PrimaryRecord, health: PrimaryHealth
     ) -> None:
-        """Take what connections have shown: a word, none, or refusals."""
-        heard_at = group.observed_target(record.primary).last_response_at
-        if sight.asked_at is not None and heard_at > sight.asked_at:
-            sight.heard()
-        news = group.targets.get(record.primary)
-        if news is None:
-            sight.unanswered_since = sight.refused_since = None
+        """Update a primary's health from what its connections have shown."""
+        last_response_at = group.observed_target(
+            record.primary
+        ).last_response_at
+        if (
+            health.oldest_question_at is not None
+            and last_response_at > health.oldest_question_at
+        ):
+            health.record_response()
+        listed_target = group.targets.get(record.primary)
+        if listed_target is None:
+            health.unanswered_since = health.connections_refused_since = None
             return
-        sight.unanswered_since = self._questions.unanswered_since(news.target)
-        sight.refused_since = self._questions.refused_since(news.target)
+        health.unanswered_since = self._questions.unanswered_since(
+            listed_target.target
+        )
+        health.connections_refused_since = self._questions.refused_since(
+            listed_target.target
+        )
 
-    def _should_look(
+    def _should_check(
         self,
         group: SessionGroup,
         record: PrimaryRecord,
-        sight: PrimarySight,
+        health: PrimaryHealth,
         now: float,
     ) -> bool:
-        """Tell whether to ask a primary how it is.
+        """Return whether to ask a primary for its report now.
 
-        Answers to statements show as well that it lives, and give samples
-        that the leader passes on; a question takes a slot of the primary.
-        But only a question shows that it has lost its role.
+        A report takes a slot of the primary. Answers to statements also show
+        that it works, and give the samples that the leader passes on, but
+        only a report shows that it has lost its role.
         """
-        looked = now - self._looked_at.get(group.name, -1e9)
-        since = sight.unanswered_since
-        if since is not None and now - since >= LOOK_AFTER:
-            return looked >= LOOK_INTERVAL
+        since_check = now - self._checked_at.get(group.name, -1e9)
+        unanswered_since = health.unanswered_since
+        if (
+            unanswered_since is not None
+            and now - unanswered_since >= UNANSWERED_CHECK_DELAY
+        ):
+            return since_check >= CHECK_INTERVAL
         sample = group.samples.newest()
-        age = now - sample.asked_at if sample is not None else LOOK_INTERVAL
-        heard = now - group.observed_target(record.primary).last_response_at
-        if max(heard, age) < LOOK_INTERVAL:
-            return looked >= ROLE_INTERVAL
-        return looked >= LOOK_INTERVAL
+        sample_age = (
+            now - sample.asked_at if sample is not None else CHECK_INTERVAL
+        )
+        since_response = (
+            now - group.observed_target(record.primary).last_response_at
+        )
+        if max(since_response, sample_age) < CHECK_INTERVAL:
+            return since_check >= ROLE_CHECK_INTERVAL
+        return since_check >= CHECK_INTERVAL
 
-    def _sight(
+    def _health(
         self, group: SessionGroup, record: PrimaryRecord
-    ) -> PrimarySight:
-        found = self._sights.get(group.name)
+    ) -> PrimaryHealth:
+        found = self._health_by_group.get(group.name)
         if found is None or found[0] != record.primary:
-            found = (record.primary, PrimarySight())
-            self._sights[group.name] = found
+            found = (record.primary, PrimaryHealth())
+            self._health_by_group[group.name] = found
         return found[1]
 
-    def _look(
+    def _check_primary(
         self,
         group: SessionGroup,
         record: PrimaryRecord,
-        sight: PrimarySight,
+        health: PrimaryHealth,
         now: float,
     ) -> None:
-        def heard(result: TargetReport | NoReport) -> None:
+        def on_report(result: TargetReport | NoReport) -> None:
             if isinstance(result, TargetReport):
-                sight.heard()
-                sight.lost_role = not result.is_primary
+                health.record_response()
+                health.lost_role = not result.is_primary
                 return
-            last = group.observed_target(record.primary).last_response_at
-            if result.busy or last >= now:
-                sight.heard()
+            last_response_at = group.observed_target(
+                record.primary
+            ).last_response_at
+            if result.busy or last_response_at >= now:
+                health.record_response()
                 return
-            if sight.asked_at is None:
-                sight.asked_at = max(now, last)
-            if result.refused and sight.refused_at is None:
-                sight.refused_at = now
+            if health.oldest_question_at is None:
+                health.oldest_question_at = max(now, last_response_at)
+            if result.refused and health.question_refused_at is None:
+                health.question_refused_at = now
             elif not result.refused:
-                sight.refused_at = None
+                health.question_refused_at = None
 
         self._questions.ask(
-            group, record.primary, AskReport(), LOOK_TIMEOUT, heard
+            group, record.primary, AskReport(), CHECK_TIMEOUT, on_report
         )
 
-    def _record_first(self, group: SessionGroup) -> None:
-        """Record the primary of a group that has no record yet.
+    def _create_record(self, group: SessionGroup) -> None:
+        """Store the first record of a group.
 
-        Not before the records were read: a group that has one must keep it.
+        This requires a recent read of the records: an existing record must
+        not be replaced.
         """
         now = self._reactor.now()
-        fresh = self._records.read_at > now - 1.0
-        if not fresh or now < self._begin_after.get(group.name, -1e9):
+        is_recent = self._records.read_at > now - 1.0
+        if not is_recent or now < self._retry_at.get(group.name, -1e9):
             return
         era = self._platform.era
-        draft = first_record(group, term=0, era=era)
+        draft = initial_record(group, term=0, era=era)
         if draft is None:
             return
-        self._begin_after[group.name] = now + TRY_AGAIN
+        self._retry_at[group.name] = now + RETRY_DELAY
 
-        def heard(result: TargetReport | NoReport) -> None:
+        def on_report(result: TargetReport | NoReport) -> None:
             if (
                 isinstance(result, TargetReport)
                 and result.is_primary
                 and self.lease.is_held
             ):
-                record = first_record(group, term=result.term, era=era)
+                record = initial_record(group, term=result.term, era=era)
                 if record is not None:
-                    self._store_first(record)
+                    self._store_new_record(record)
 
         self._questions.ask(
-            group, draft.primary, AskReport(), LOOK_TIMEOUT, heard
+            group, draft.primary, AskReport(), CHECK_TIMEOUT, on_report
         )
 
-    def _store_first(self, record: PrimaryRecord) -> None:
+    def _store_new_record(self, record: PrimaryRecord) -> None:
         def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
         ) -> None:
--- a/bamboospring/sessions/leader_lease.py
+++ b/bamboospring/sessions/leader_lease.py
@@ -1,9 +1,10 @@
-"""Hold the lease under which one VM leads changes of primary.
+"""The lease that lets one VM at a time lead changes of primary.
 
-The lease is an object beside the groups' records, so that every read of them
-shows it too and no VM has to ask for it. Its fencing number is the version of
-the object when the holder took it: versions only grow, over eras of the store
-as well, so a later holder always has a higher one.
+The lease is stored under the same kind as the groups' records, so each read
+of the records returns it too and no extra request is needed. The fencing
+number is the version of the lease object when the holder acquired it. Versions
+only increase, across eras of the store as well, so a later holder always has a
+higher number.
 """
 
 from __future__ import annotations
@@ -37,14 +38,14 @@
 __all__ = ["LeaderLease", "LeaseHolder", "LEASE_NAME"]
 
 LEASE_NAME = "lease"
-# VMs that would take a free lease do so this many ranks apart at most.
-RANKS = 8
+# VMs that compete for a free lease are staggered over this many ranks.
+RANK_COUNT = 8
 STORE_TIMEOUT = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseHolder:
-    """Who holds the lease, by its own word; `version` is the lease's."""
+    """A VM that announced itself as the holder of the lease at `version`."""
 
     vm: str
     address: str
@@ -52,7 +53,10 @@
 
 
 class LeaderLease:
-    """This VM's part in the lease under which changes are led."""
+    """This VM's view of the leader lease, and its attempts to hold it.
+
+    `on_changed` is called with whether the lease is held when that changes.
+    """
 
     def __init__(
         self,
@@ -69,7 +73,7 @@
         self._board = board
         self._platform = platform
         self._on_changed = on_changed
-        self._told = LeaseHolder(vm="", address="", version=0)
+        self._announced_holder = LeaseHolder(vm="", address="", version=0)
         nonce = secrets.token_hex(8)
         self._keeper = LeaseKeeper(
             bucket=0,
@@ -78,63 +82,63 @@
             timing=timing,
             address=address,
         )
-        self._rank = zlib.crc32(nonce.encode()) % RANKS
+        self._rank = zlib.crc32(nonce.encode()) % RANK_COUNT
         self._awaiting_read = False
-        self._led = False
+        self._was_held = False
         records.is_leader = lambda: self.is_held
-        records.on_other = self._lease_seen
-        records.on_read = self._records_read
+        records.on_other_object = self._on_other_object
+        records.on_records_read = self._on_records_read
 
     @property
     def is_held(self) -> bool:
-        """Tell whether this VM may act now."""
-        return self.holds_until(self._reactor.now())
+        """Return whether this VM holds the lease now."""
+        return self.is_held_until(self._reactor.now())
 
     @property
     def fence(self) -> int:
-        """Return the number of this holding, for orders."""
+        """Return the fencing number to send with orders."""
         return self._keeper.fence
 
-    def holds_until(self, instant: float) -> bool:
-        """Tell whether this VM may act at least until an instant."""
+    def is_held_until(self, instant: float) -> bool:
+        """Return whether this VM holds the lease at least until `instant`."""
         return self._keeper.holds(instant)
 
     def blocks_others(self) -> int:
-        """Return 1 while others wait for our lease to end."""
+        """Return 1 while other VMs wait for this VM's lease to expire."""
         return int(self._keeper.blocks_others(self._reactor.now()))
 
     def holder(self) -> str:
-        """Return the name of the VM that holds the lease, as last seen."""
+        """Return the name of the last known holder of the lease."""
         lease = self._keeper.as_lease()
-        if self._told.version > lease.version:
-            return self._told.vm
+        if self._announced_holder.version > lease.version:
+            return self._announced_holder.vm
         return lease.vm
 
     def holder_address(self) -> str:
-        """Return where other VMs reach the holder, as last seen."""
-        if self._told.version > self._keeper.as_lease().version:
-            return self._told.address
+        """Return the peer address of the last known holder of the lease."""
+        if self._announced_holder.version > self._keeper.as_lease().version:
+            return self._announced_holder.address
         return self._keeper.holder_address()
 
     def record_holder(self, holder: LeaseHolder) -> None:
-        """Take from a VM that it has taken the lease.
+        """Record that a VM announced that it holds the lease.
 
-        A VM that can't read the store finds its way to the new leader's
-        facts by this alone.
+        A VM that can't read the store learns the address of the new leader
+        only from this announcement.
         """
-        if holder.version > self._told.version:
-            self._told = holder
+        if holder.version > self._announced_holder.version:
+            self._announced_holder = holder
 
     def last_seen_lease(self) -> Lease:
-        """Return the lease as last seen."""
+        """Return the last known state of the lease."""
         return self._keeper.as_lease()
 
     def apply_relayed(
         self, version: int, duration: float, asked_at: float
     ) -> None:
-        """Take from its holder that the lease has this version now.
+        """Apply the version of the lease that its holder passed on.
 
-        What marks one renewal from the next matters only to the holder.
+        The nonce that distinguishes renewals matters only to the holder.
         """
         value = LeaseValue(
             vm=self.holder(),
@@ -143,19 +147,19 @@
             address=self.holder_address(),
             era=era_of(version),
         )
-        seen = ObservedLease(version=version, value=value)
-        self._take_seen(seen, asked_at)
+        observed = ObservedLease(version=version, value=value)
+        self._observe(observed, asked_at)
 
-    def _take_seen(self, seen: ObservedLease, asked_at: float) -> None:
+    def _observe(self, observed: ObservedLease, asked_at: float) -> None:
         now = self._reactor.now()
         if not self._awaiting_read:
-            self._keeper.on_observed(now, seen)
+            self._keeper.on_observed(now, observed)
             return
         self._awaiting_read = False
-        self._keeper.on_read(asked_at, now, seen)
+        self._keeper.on_read(asked_at, now, observed)
 
     def step(self) -> None:
-        """Make the call that is due, if any."""
+        """Read, acquire or renew the lease if that is due."""
         now = self._reactor.now()
         rank = None if self._board.draining else self._rank
         action = self._keeper.step(now, rank)
@@ -164,20 +168,20 @@
                 self._awaiting_read = True
             case WriteLease():
                 self._write_lease(action)
-        self._log_lead()
+        self._update_held()
 
-    def _log_lead(self) -> None:
-        if self.is_held == self._led:
+    def _update_held(self) -> None:
+        if self.is_held == self._was_held:
             return
-        self._led = self.is_held
+        self._was_held = self.is_held
         lease = self._keeper.as_lease()
         logs.log_event(
-            "lease_taken" if self._led else "lease_lost",
+            "lease_taken" if self._was_held else "lease_lost",
             version=version_text(lease.version),
             fence=self._keeper.fence,
             holder=lease.vm,
         )
-        self._on_changed(self._led)
+        self._on_changed(self._was_held)
 
     def _write_lease(self, action: WriteLease) -> None:
         sent_at = self._reactor.now()
@@ -196,18 +200,18 @@
             timeout=STORE_TIMEOUT,
         )
 
-    def _lease_seen(self, found: Found, asked_at: float) -> None:
+    def _on_other_object(self, found: Found, asked_at: float) -> None:
         if found.name == LEASE_NAME:
-            seen = decode_lease(found.version, found.value)
-            self._take_seen(seen, asked_at)
+            observed = decode_lease(found.version, found.value)
+            self._observe(observed, asked_at)
 
-    def _records_read(self, asked_at: float, era: int) -> None:
-        """Note that the records were read and there was no lease in them."""
+    def _on_records_read(self, asked_at: float, era: int) -> None:
+        """Handle a read of the records that did not return the lease."""
         if self._awaiting_read:
             self._awaiting_read = False
-            seen = ObservedLease(
+            observed = ObservedLease(
                 version=0,
                 value=decode_lease(0, None).value,
                 missing_in_era=era,
             )
-            self._keeper.on_read(asked_at, self._reactor.now(), seen)
+            self._keeper.on_read(asked_at, self._reactor.now(), observed)
--- a/bamboospring/sessions/model.py
+++ b/bamboospring/sessions/model.py
@@ -1,6 +1,6 @@
-"""What is known of routes, groups and targets, as plain data.
+"""Data model of routes, groups and targets.
 
-Times are the reactor's, in seconds; durations are seconds.
+Times are the reactor's, in seconds; durations are in seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     "GroupLimits",
     "SessionGroup",
     "PrimaryRecord",
-    "Outgoing",
+    "OutgoingPrimary",
     "Route",
     "SessionBoard",
     "ListedTarget",
@@ -32,27 +32,28 @@
     "Team",
 ]
 
-# A target that was never used counts as this fast, in seconds.
-FIRST_LATENCY = 0.02
-# The estimate of a target's latency follows each answer by this part.
+# Assumed latency in seconds of a target that was never used.
+INITIAL_LATENCY = 0.02
+# Smoothing factor of the estimated latency of a target.
 LATENCY_SMOOTHING = 0.1
-# A new primary is told before it is proven; the proof takes a call to the
-# store, and comes within this many seconds or not soon.
-FIRST_PROOF_WITHIN = 0.4
-# Until it is told, a VM takes this for the number of VMs.
-FEWEST_VMS = 9
-# Seconds that a change of primary takes from the moment at which it is told:
-# most of it is the promotion itself.
-FIRST_CHANGE_TIME = 1.3
-# Each lost or failed answer adds this to a target's trouble, each good one
-# takes this part of it away.
-TROUBLE_STEP = 1.0
-TROUBLE_DECAY = 0.1
-MOST_TROUBLE = 8.0
+# Seconds to wait for the first proof of a new primary. Its record arrives
+# before the proof, which takes one call to the store; a proof that takes
+# longer than this is not expected soon.
+FIRST_PROOF_TIMEOUT = 0.4
+# Number of VMs that a VM assumes until it knows the real one.
+INITIAL_VM_COUNT = 9
+# Initial estimate of the seconds from a VM's first notice of a change of
+# primary to its end. Most of it is the promotion itself.
+INITIAL_CHANGE_DURATION = 1.3
+# A lost answer or a fault adds FAILURE_SCORE_STEP to a target's failure score;
+# a good answer removes the fraction FAILURE_SCORE_DECAY of it.
+FAILURE_SCORE_STEP = 1.0
+FAILURE_SCORE_DECAY = 0.1
+MAX_FAILURE_SCORE = 8.0
 
 
 class Freshness(Enum):
-    """What a route's reads must have seen."""
+    """Which commits a route's reads must have seen."""
 
     PRIMARY = "primary"
     BOUNDED = "bounded"
@@ -61,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Where the statements of one database go, and how.
+    """How the statements of one database are routed.
 
-    `time_limit` bounds one statement, `objective` is the time in which a
-    whole operation should be done, `max_age` the age of data that reads
-    accept (None: no age is accepted). The lowest `urgency` goes first. An
-    `anonymous` route needs no key.
+    `time_limit` is the timeout of one statement, `objective` the time in which
+    a whole operation should be done, `max_age` the maximum staleness that
+    reads accept (None: stale data is not accepted). Statements of the lowest
+    `urgency` go first. An `anonymous` route needs no key.
     """
 
     name: str
@@ -82,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Team:
-    """Who callers work for, and how much of that all VMs may let in.
+    """A team of callers and its quota over all VMs.
 
-    `rate` is in operations a second, None: without a limit; `burst` is how
-    many may come at once.
+    `rate` is in operations per second, None without a limit; `burst` is the
+    maximum number at once.
     """
 
     name: str
@@ -95,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupLimits:
-    """What a group allows: connections to each of its targets.
+    """The settings of a group.
 
-    `receipts` is the number of replicas that hold a commit before it is
-    acknowledged.
+    `max_connections` is the limit for each of its targets. `sync_replicas` is
+    the number of replicas that hold a commit before it is acknowledged.
     """
 
     name: str
@@ -110,9 +111,10 @@
 class Catalog:
     """One accepted configuration: routes by database, groups by name.
 
-    `teams` is None where callers need no key; `keys` has the team of each
-    key, by the key's digest. `least_urgent` has for each group what its last
-    routes have; it is worked out once, since there may be thousands of routes.
+    `teams` is None if callers need no key; `keys` has the team of each key, by
+    the key's digest. `least_urgent` has the highest urgency value of each
+    group's routes; it is computed once, because there may be thousands of
+    routes.
     """
 
     version: int
@@ -133,10 +135,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListedTarget:
-    """What a target says of itself in the platform's list.
+    """A target's entry in the platform's list.
 
-    `leads` is its own belief that it is the primary; a primary that is
-    leaving may be used until `usable_until`.
+    `is_primary` is whether the target itself reports that it is the primary.
+    A primary that is leaving may be used until `usable_until`.
     """
 
     target: Target
@@ -150,9 +152,10 @@
 class PendingChange:
     """A change of primary that has begun and is not recorded as done.
 
-    `term` is what the targets are told to hold; `vm` and `nonce` name the
-    process that leads it. Only `candidate` is promoted under this record; for
-    another one the record is stored anew first.
+    `term` is the term that targets are ordered to hold; `vm` and `nonce`
+    identify the process that leads the change. Only `candidate` is promoted
+    under this record; to promote another target the record is stored again
+    first.
     """
 
     term: int
@@ -164,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PrimaryRecord(VersionedState):
-    """What has been agreed of a group's primary."""
+    """The record of a group's primary, as stored."""
 
     group: str
     term: int
@@ -174,15 +177,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class ObservedTarget:
-    """What this process has seen of one life of a target.
+    """What this process has observed of a target since the target started.
 
-    `applied` is the newest position that the target has shown, at
-    `applied_at`. Until `behind_until` it is not tried for reads that need
-    more than that. `heard_at` is when it last answered anything.
+    `applied` is the newest position that the target has reported, at
+    `applied_at`. Until `behind_until` it is not tried for reads that need a
+    later position. `last_response_at` is when it last answered any request.
     """
 
     in_flight: int = 0
-    latency: float = FIRST_LATENCY
+    latency: float = INITIAL_LATENCY
     failure_score: float = 0.0
     applied: Position = Position()
     applied_at: float = -1e9
@@ -190,29 +193,29 @@
     last_response_at: float = -1e9
 
     def record_answer(self, seconds: float, now: float) -> None:
-        """Note a good answer after `seconds`."""
+        """Record a good answer that took `seconds`."""
         self.latency += LATENCY_SMOOTHING * (seconds - self.latency)
-        self.failure_score -= TROUBLE_DECAY * self.failure_score
+        self.failure_score -= FAILURE_SCORE_DECAY * self.failure_score
         self.last_response_at = now
 
     def record_failure(self) -> None:
-        """Note an answer that was lost, or told of a fault of the target."""
+        """Record an answer that was lost or reported a fault of the target."""
         self.failure_score = min(
-            MOST_TROUBLE, self.failure_score + TROUBLE_STEP
+            MAX_FAILURE_SCORE, self.failure_score + FAILURE_SCORE_STEP
         )
 
     def record_applied(self, position: Position, now: float) -> None:
-        """Note a position that the target has shown."""
+        """Record a position that the target has reported."""
         if position >= self.applied:
             self.applied = position
             self.applied_at = now
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Outgoing:
+class OutgoingPrimary:
     """A primary that is being replaced and the last proof of it.
 
-    Nothing new is sent there; what it answers while the proof holds stands.
+    No new requests go to it. Its answers are valid while the proof is.
     """
 
     target: str
@@ -221,7 +224,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class SessionGroup:
-    """A group: what is agreed of it and what was seen of its targets."""
+    """A group: its record, its targets and what was observed of them.
+
+    `change_seen_at` is when this process first saw the change under way,
+    `primary_set_at` when it last applied a record without a change.
+    """
 
     name: str
     record: PrimaryRecord | None = None
@@ -230,37 +237,37 @@
     samples: SampleLog = field(default_factory=SampleLog)
     targets: dict[str, ListedTarget] = field(default_factory=dict)
     observed_targets: dict[str, ObservedTarget] = field(default_factory=dict)
-    outgoing_primary: Outgoing | None = None
+    outgoing_primary: OutgoingPrimary | None = None
     is_changing: bool = False
     change_seen_at: float = -1e9
-    settled_at: float = -1e9
+    primary_set_at: float = -1e9
 
     def observed_target(self, name: str) -> ObservedTarget:
-        """Return what was seen of a target, creating an empty view."""
+        """Return the observations of a target, creating empty ones."""
         found = self.observed_targets.get(name)
         if found is None:
             found = self.observed_targets[name] = ObservedTarget()
         return found
 
     def primary(self) -> ListedTarget | None:
-        """Return the agreed primary, None while it is being changed."""
-        agreed = self.record
-        if agreed is None or agreed.change is not None:
+        """Return the recorded primary, None while it is being changed."""
+        record = self.record
+        if record is None or record.change is not None:
             return None
-        return self.targets.get(agreed.primary)
+        return self.targets.get(record.primary)
 
-    def change_expected_at(self, change_time: float) -> float | None:
-        """Return when a change under way should be over, None if none is."""
+    def change_expected_at(self, change_duration: float) -> float | None:
+        """Return when the change under way should end, None without one."""
         if self.is_changing:
-            return self.change_seen_at + change_time
+            return self.change_seen_at + change_duration
         return None
 
     def first_proof_due_at(self, now: float) -> float | None:
-        """Return when a new primary's first proof should have come.
+        """Return when the first proof of a new primary is due.
 
-        None if there is a proof, or if it is overdue.
+        Return None if there is a proof or if it is overdue.
         """
-        due = self.settled_at + FIRST_PROOF_WITHIN
+        due = self.primary_set_at + FIRST_PROOF_TIMEOUT
         if now >= due or self.proof.covers(now):
             return None
         return due
@@ -268,42 +275,42 @@
     def record_position(
         self, target: str, position: Position, sent_at: float, now: float
     ) -> None:
-        """Take a position that a target has shown in an answer.
+        """Record a position that a target has reported in an answer.
 
-        What a proven primary shows holds every commit acknowledged before it
-        was asked, and so is a sample of the group's log.
+        A position from a proven primary includes every commit acknowledged
+        before the request was sent, so it is a sample of the group's log.
         """
         self.observed_target(target).record_applied(position, now)
-        news = self.primary()
-        if news is not None and news.target.name == target:
+        primary = self.primary()
+        if primary is not None and primary.target.name == target:
             if self.proof.covers(sent_at):
                 self.samples.add(sent_at, position)
 
     def is_answer_valid(self, target: str, now: float) -> bool:
-        """Tell whether what a target has just answered counts.
+        """Return whether an answer received now from a primary is valid.
 
-        It does if no other primary can have been promoted by now.
+        It is if no other target can have been promoted by now.
         """
         outgoing = self.outgoing_primary
         if outgoing is not None and outgoing.target == target:
             return outgoing.proof.covers(now)
-        news = self.primary()
-        if news is None or news.target.name != target:
+        primary = self.primary()
+        if primary is None or primary.target.name != target:
             return False
         return self.proof.covers(now)
 
 
 @dataclass(slots=True, kw_only=True)
 class SessionBoard:
-    """The one view that the controllers of sessions share.
+    """State that the controllers of sessions share.
 
-    `targets_seen_at` is when the list of targets that is in force was asked
-    for, `change_time` how long a change of primary usually takes, `vms` how
-    many VMs share the targets' connections.
+    `targets_seen_at` is when the current list of targets was requested,
+    `change_duration` how long a change of primary usually takes, `vm_count`
+    how many VMs share the targets' connections.
 
     The store had no newer configuration than `catalog` at
-    `catalog_confirmed_at`. A key may be used for `key_life` seconds after
-    that; None: until a configuration takes it away.
+    `catalog_confirmed_at`. A key may be used for `key_lifetime` seconds after
+    that; None means until a configuration removes it.
     """
 
     vm: str
@@ -315,26 +322,26 @@
     quota_unsettled: UnsettledState | None = None
     groups: dict[str, SessionGroup] = field(default_factory=dict)
     targets_seen_at: float = -1e9
-    change_duration: float = FIRST_CHANGE_TIME
-    vm_count: int = FEWEST_VMS
+    change_duration: float = INITIAL_CHANGE_DURATION
+    vm_count: int = INITIAL_VM_COUNT
     draining: bool = False
 
     def is_urgent(self, route: Route) -> bool:
-        """Tell whether a route goes before some others of its group."""
+        """Return whether a route has precedence over others of its group."""
         if self.catalog is None:
             return False
         least = self.catalog.least_urgent.get(route.group, route.urgency)
         return route.urgency < least
 
     def group(self, name: str) -> SessionGroup:
-        """Return the view of a group, creating an empty one."""
+        """Return the state of a group, creating an empty one."""
         found = self.groups.get(name)
         if found is None:
             found = self.groups[name] = SessionGroup(name=name)
         return found
 
     def route(self, database: str) -> Route | None:
-        """Return the route of a database in the catalog in force."""
+        """Return the route of a database in the current catalog."""
         if self.catalog is None:
             return None
         return self.catalog.routes.get(database)
--- a/bamboospring/sessions/proof_release.py
+++ b/bamboospring/sessions/proof_release.py
@@ -1,8 +1,8 @@
-"""Have all VMs let go of their proof of a primary, and tell them of records.
+"""Ask all VMs to release their proof of a primary, and send them records.
 
-A change of primary that only waits for proofs to lapse stops writes for as
-long as a proof lives. VMs that are asked answer in milliseconds; only where
-one does not answer the wait is needed.
+A change of primary that only waits for proofs to expire stops writes for the
+lifetime of a proof. VMs answer a request in milliseconds, so the wait is
+needed only if one of them does not answer.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from bamboospring.peers import Peers
 from bamboospring.peers import Reply
 from bamboospring.reactor import Reactor
+from bamboospring.sessions.group_records import decode_record
 from bamboospring.sessions.group_records import encode_record
-from bamboospring.sessions.group_records import read_record
 from bamboospring.sessions.group_records import RECORD_KIND
 from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
@@ -33,16 +33,16 @@
 
 __all__ = ["ProofReleases"]
 
-# Seconds for a VM's answer.
-TIMEOUT = 0.7
-# What is under way at the old primary gets so many seconds to be answered
-# before a VM lets go: answers that come later are in doubt.
-GRACE = 0.15
-RECHECK = 0.01
+# Timeout in seconds of a VM's answer.
+ANSWER_TIMEOUT = 0.7
+# Seconds that requests in flight at the old primary may take before a VM
+# releases its proof. The outcome of later answers is unknown.
+IN_FLIGHT_GRACE_PERIOD = 0.15
+RECHECK_INTERVAL = 0.01
 
 
 class ProofReleases:
-    """Tells other VMs of records, and lets go when told of a change."""
+    """Sends records to other VMs, and releases proofs on their request."""
 
     def __init__(
         self,
@@ -58,46 +58,50 @@
         self._peers = peers
         self._registry = registry
         self._records = records
-        peers.add_handler("recordNews", self._on_news)
+        peers.add_handler("recordNews", self._on_record_news)
 
-    def ask_all(
+    def request_release(
         self, record: PrimaryRecord, on_released: Callable[[], None]
     ) -> None:
-        """Have every VM let go; calls back only if all of them have.
+        """Ask every VM to release its proof; call back if all of them have.
 
-        Where the list may lack a VM they are told as well, but nobody can know
-        that all have let go.
+        If the list of VMs may be incomplete, the record is only announced,
+        because nothing shows that all VMs have released their proofs.
         """
-        if not self._registry.is_whole(self._reactor.now()):
-            self._registry.refresh(lambda _vms: self.tell_all(record))
+        if not self._registry.is_complete(self._reactor.now()):
+            self._registry.refresh(lambda _vms: self.announce_record(record))
             return
 
-        def listed(vms: dict[str, ListedVm] | None) -> None:
+        def on_listed(vms: dict[str, ListedVm] | None) -> None:
             if vms is not None:
-                self._ask_listed(record, list(vms.values()), on_released)
+                self._ask_vms(record, list(vms.values()), on_released)
 
-        self._registry.refresh(listed)
+        self._registry.refresh(on_listed)
 
     def publish(self, record: PrimaryRecord, version: int) -> None:
-        """Take a record without a change that was stored, and tell all VMs.
+        """Apply a stored record without a change, and announce it to all VMs.
 
-        Any VM may have stored it; only one that leads knows the others.
+        Any VM may call this, and only the leader keeps the list of VMs
+        current, so the list is read first.
         """
         stored = dataclasses.replace(record, version=version)
         self._records.apply(stored)
         self._records.request_read(record.group)
-        self._registry.refresh(lambda _vms: self.tell_all(stored))
+        self._registry.refresh(lambda _vms: self.announce_record(stored))
 
-    def tell_all(self, record: PrimaryRecord) -> None:
-        """Tell all VMs of a record; those that miss it read it later."""
+    def announce_record(self, record: PrimaryRecord) -> None:
+        """Send a record to all VMs; those that miss it read it later."""
         for vm in self._registry.vms.values():
             if vm.name != self._board.vm:
                 self._peers.ask(
-                    vm.address, _news(record), TIMEOUT, lambda answer: None
+                    vm.address,
+                    _record_message(record),
+                    ANSWER_TIMEOUT,
+                    lambda answer: None,
                 )
 
-    def tell_leading(self, version: int) -> None:
-        """Tell all VMs that this one has the lease, at this version."""
+    def announce_leader(self, version: int) -> None:
+        """Tell all VMs that this one holds the lease at this version."""
         message = new_envelope()
         leading = message.init("leading")
         leading.vm = self._board.vm
@@ -110,30 +114,30 @@
         ]
         self._peers.send_all(others, message)
 
-    def _ask_listed(
+    def _ask_vms(
         self,
         record: PrimaryRecord,
         vms: list[ListedVm],
         on_released: Callable[[], None],
     ) -> None:
-        left = {vm.name for vm in vms} | {self._board.vm}
-        began = self._reactor.now()
+        unreleased = {vm.name for vm in vms} | {self._board.vm}
+        started_at = self._reactor.now()
 
         def released(vm: str) -> None:
-            left.discard(vm)
-            if left:
+            unreleased.discard(vm)
+            if unreleased:
                 return
-            took = self._reactor.now() - began
+            elapsed = self._reactor.now() - started_at
             logs.log_event(
                 "proofs_released",
                 group=record.group,
                 version=version_text(record.version),
                 vms=len(vms),
-                took_ms=round(took * 1000),
+                took_ms=round(elapsed * 1000),
             )
             on_released()
 
-        def ask(vm: ListedVm) -> None:
+        def ask_vm(vm: ListedVm) -> None:
             def answered(answer: Any) -> None:
                 if isinstance(answer, PeerLost):
                     logs.log_event(
@@ -146,19 +150,21 @@
                 elif answer.recordSeen.version >= record.version:
                     released(vm.name)
 
-            self._peers.ask(vm.address, _news(record), TIMEOUT, answered)
+            self._peers.ask(
+                vm.address, _record_message(record), ANSWER_TIMEOUT, answered
+            )
 
         for vm in vms:
             if vm.name != self._board.vm:
-                ask(vm)
+                ask_vm(vm)
         group = self._board.group(record.group)
-        self._let_go(group, record, lambda: released(self._board.vm))
+        self._release(group, record, lambda: released(self._board.vm))
 
-    # Letting go.
+    # Releasing proofs.
 
-    def _on_news(self, message: Any, reply: Reply) -> None:
+    def _on_record_news(self, message: Any, reply: Reply) -> None:
         raw = orjson.loads(message.recordNews.record)
-        record = read_record(
+        record = decode_record(
             Found(
                 kind=RECORD_KIND,
                 name=raw["name"],
@@ -170,43 +176,47 @@
             return
         self._records.apply(record)
         if record.change is None:
-            # A record by word of mouth is no proof; the store gives one.
+            # A record from another VM is not a proof; a read of the store is.
             self._records.request_read(record.group)
 
-        def done() -> None:
+        def acknowledge() -> None:
             answer = new_envelope()
             seen = answer.init("recordSeen")
             seen.vm = self._board.vm
             seen.version = record.version
             reply(answer)
 
-        self._let_go(self._board.group(record.group), record, done)
+        self._release(self._board.group(record.group), record, acknowledge)
 
-    def _let_go(
+    def _release(
         self,
         group: SessionGroup,
         record: PrimaryRecord,
-        on_done: Callable[[], None],
+        on_complete: Callable[[], None],
     ) -> None:
-        """Stop using the old primary, once what is under way is answered."""
-        until = self._reactor.now() + GRACE
+        """Stop using the old primary once requests in flight are answered."""
+        deadline = self._reactor.now() + IN_FLIGHT_GRACE_PERIOD
 
         def check() -> None:
             outgoing = group.outgoing_primary
             known = group.record
-            same = known is not None and known.version == record.version
-            if same and record.change is not None and outgoing is not None:
-                busy = group.observed_target(outgoing.target).in_flight > 0
-                if busy and self._reactor.now() < until:
-                    self._reactor.call_later(RECHECK, check)
+            is_current = known is not None and known.version == record.version
+            if (
+                is_current
+                and record.change is not None
+                and outgoing is not None
+            ):
+                is_busy = group.observed_target(outgoing.target).in_flight > 0
+                if is_busy and self._reactor.now() < deadline:
+                    self._reactor.call_later(RECHECK_INTERVAL, check)
                     return
                 group.outgoing_primary = None
-            on_done()
+            on_complete()
 
         check()
 
 
-def _news(record: PrimaryRecord) -> Any:
+def _record_message(record: PrimaryRecord) -> Any:
     message = new_envelope()
     message.init("recordNews").record = orjson.dumps(
         {
--- a/bamboospring/sessions/proofs.py
+++ b/bamboospring/sessions/proofs.py
@@ -1,18 +1,18 @@
-"""How long a primary may be taken for the primary.
-
-A primary that was replaced does not know, and goes on answering whoever still
-reaches it. A read there is stale, and a write there is lost. So a process
-uses a primary only while it can show that no change had begun a short time
-ago, and whoever changes a primary first makes such proofs impossible, then
-waits until all of them have lapsed, and only then promotes.
-
-There are two kinds of proof. A linearizable read of the group's record that
-shows no change; or, where the platform's store does not answer, the word of
-every other target of the group that it holds no later term, since a change
-has one of them hold the new term before the wait begins. Either counts from
+"""Proofs that a target is still the primary of its group.
+
+A replaced primary is not notified and keeps answering every process that
+reaches it. A read there is stale, and a write there is lost. A process
+therefore uses a primary only while it has a proof that no change had begun a
+short time ago. A change of primary first makes new proofs impossible, then
+waits until all earlier ones have expired, and only then promotes.
+
+There are two kinds of proof: a linearizable read of the group's record that
+shows no change; or, if the platform's store does not answer, reports from all
+other targets of the group that none holds a later term, because a change has
+one of them hold the new term before the wait begins. A proof is dated from
 before the question was sent.
 
-Pure decisions; times are passed in and count suspensions of the machine.
+Pure decisions; times are passed in and include suspensions of the machine.
 """
 
 from __future__ import annotations
@@ -26,16 +26,15 @@
     "Proof",
     "TargetReport",
     "PROMOTION_WAIT",
-    "others_agree",
+    "others_confirm_term",
 ]
 
-# Seconds for which a proof holds. Records are read about every second, so
-# that one lost answer costs nothing; longer makes a change of primary wait
-# longer where a process cannot be asked to let go of its proof.
+# Seconds for which a proof is valid. Records are read about every second, so
+# one lost answer has no effect. A longer lifetime delays changes of primary
+# whenever some process can't be asked to release its proof.
 PROOF_LIFETIME = 2.0
-# Seconds that a change waits between the moment at which new proofs have
-# become impossible and the promotion. Longer than a proof lives by what the
-# clocks' rates may differ, 5 %.
+# Seconds that a change waits between blocking new proofs and the promotion. It
+# is longer than a proof's lifetime because clock rates may differ by up to 5%.
 PROMOTION_WAIT = PROOF_LIFETIME * 1.05
 
 NEVER = -1e9
@@ -43,29 +42,30 @@
 
 @dataclass(slots=True, kw_only=True)
 class Proof:
-    """The newest instant at which the agreed primary was surely the one."""
+    """The latest time at which the recorded primary was proven."""
 
     asked_at: float = NEVER
 
     def renew(self, asked_at: float) -> None:
-        """Take a newer proof; an older one changes nothing."""
+        """Record a proof; an older one has no effect."""
         self.asked_at = max(self.asked_at, asked_at)
 
     def invalidate(self) -> None:
-        """Forget all proofs, since the record has changed."""
+        """Discard the proof after the record has changed."""
         self.asked_at = NEVER
 
     def covers(self, instant: float) -> bool:
-        """Tell whether nobody else was primary at an instant."""
+        """Return whether no other target was primary at `instant`."""
         return instant < self.asked_at + PROOF_LIFETIME
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetReport:
-    """What a target says of its place in its group.
+    """A target's report about its role in its group.
 
-    `held_term` is the term above which it takes nothing from a primary, 0 if
-    it holds none; `received` is the number of its newest entry.
+    A target that holds a term receives nothing from a primary of a lower one;
+    `held_term` is 0 if it holds none. `received_index` is the index of its
+    newest log entry.
     """
 
     is_primary: bool
@@ -82,19 +82,19 @@
         return max(self.term, self.received_term, self.held_term)
 
 
-def others_agree(
+def others_confirm_term(
     others: Iterable[str],
     reports: Mapping[str, TargetReport | None],
     term: int,
 ) -> bool:
-    """Tell whether no other target of a group has gone beyond a term.
+    """Return whether no other target of a group knows a later term.
 
-    `reports` holds None for a target whose machine refused the connection:
-    its process is not running. Every other target must have been heard or
-    refused, and at least one heard: a target of which nothing is known may
-    be the one that holds the new term.
+    `reports` has None for a target whose machine refused the connection: its
+    process is not running. Every other target must have reported or refused,
+    and at least one must have reported: a target that did not answer may be
+    the one that holds the new term.
     """
-    heard = 0
+    report_count = 0
     for name in others:
         if name not in reports:
             return False
@@ -103,5 +103,5 @@
             continue
         if report.is_primary or report.newest_term > term:
             return False
-        heard += 1
-    return heard > 0
+        report_count += 1
+    return report_count > 0
--- a/bamboospring/sessions/record_keeper.py
+++ b/bamboospring/sessions/record_keeper.py
@@ -1,8 +1,8 @@
 """Keep the groups' records and the proofs of their primaries.
 
-Each read of the records proves, for a while, every primary that they show.
-Where the store does not answer, or shows records that may not be the newest
-since it came back from an older copy, each group's other targets are asked
+Each read of the records is a proof of every primary in them for a limited
+time. If the store does not answer, or was restored from an older copy so that
+its records may not be the newest, each group's other targets are asked
 instead.
 """
 
@@ -19,15 +19,15 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
+from bamboospring.sessions.group_records import decode_record
 from bamboospring.sessions.group_records import encode_record
-from bamboospring.sessions.group_records import read_record
 from bamboospring.sessions.group_records import RECORD_KIND
-from bamboospring.sessions.model import Outgoing
+from bamboospring.sessions.model import OutgoingPrimary
 from bamboospring.sessions.model import PrimaryRecord
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.ports import AskReport
-from bamboospring.sessions.proofs import others_agree
+from bamboospring.sessions.proofs import others_confirm_term
 from bamboospring.sessions.proofs import Proof
 from bamboospring.sessions.proofs import PROOF_LIFETIME
 from bamboospring.sessions.proofs import TargetReport
@@ -44,33 +44,35 @@
 
 __all__ = ["RecordKeeper"]
 
-# Seconds between two reads of the records: a proof then outlives one read
-# that is lost, and is renewed by the next.
-INTERVAL = PROOF_LIFETIME * 0.45
-# The leader passes its proofs on, which takes them as long again to age.
-LEADER_INTERVAL = PROOF_LIFETIME * 0.25
-TIMEOUT = PROOF_LIFETIME * 0.35
-# Reads made because something spoke against a record are this far apart.
-DOUBT_INTERVAL = 0.15
-# A proof of this age, in seconds, is renewed by asking the targets.
-RENEW_BY_TARGETS = PROOF_LIFETIME * 0.68
-TARGETS_TIMEOUT = PROOF_LIFETIME * 0.28
+# Seconds between two reads of the records, short enough that a proof survives
+# one lost read.
+READ_INTERVAL = PROOF_LIFETIME * 0.45
+# Shorter for the leader, because its proofs age by about as much again before
+# they reach the other VMs.
+LEADER_READ_INTERVAL = PROOF_LIFETIME * 0.25
+READ_TIMEOUT = PROOF_LIFETIME * 0.35
+# Minimum seconds between two reads that `request_read` asked for.
+REQUESTED_READ_INTERVAL = 0.15
+# Age in seconds at which a proof is renewed by asking the targets.
+ASK_TARGETS_AGE = PROOF_LIFETIME * 0.68
+REPORT_TIMEOUT = PROOF_LIFETIME * 0.28
 CHECK_INTERVAL = 0.2
 
-# The estimate of how long a change takes follows each one by this part, and
-# takes none for longer than this, in seconds: those wait for something else.
+# Smoothing factor of the estimated duration of a change, and the maximum
+# duration that counts, in seconds. Longer changes wait for something else.
 CHANGE_SMOOTHING = 0.5
-LONGEST_CHANGE = 3.0
-# Changes for these causes mean that the old primary answers nothing more.
+MAX_CHANGE_DURATION = 3.0
+# Changes for these causes mean that the old primary no longer answers.
 FAILED_CAUSES = frozenset(
     {TakeoverCause.FAILED.value, TakeoverCause.GONE.value}
 )
 
 # A record as it is passed on: its name, version and value, and the era in
-# which the store does not show it; 0: it does.
+# which the store no longer has it, or 0 if the store has it.
 RecordRow = tuple[str, int, Any, int]
-# Called with what else is stored with the records, when it was asked for.
-OnOther = Callable[[Found, float], None]
+# Called with any other object of the records' kind, and with the time at which
+# the read was sent.
+OnOtherObject = Callable[[Found, float], None]
 
 
 class RecordKeeper:
@@ -86,62 +88,64 @@
         can_take_proofs: Callable[[float], bool],
         on_primary_failed: Callable[[str, str], None],
     ) -> None:
-        self._on_failed = on_primary_failed
-        self._may_take_proofs = can_take_proofs
+        self._on_primary_failed = on_primary_failed
+        self._can_take_proofs = can_take_proofs
         self._reactor = reactor
         self._board = board
         self._platform = platform
         self._questions = questions
-        self._asking: set[str] = set()
-        self._busy = False
-        self._doubted = False
+        self._surveyed_groups: set[str] = set()
+        self._is_reading = False
+        self._read_requested = False
         self._asked_at = -1e9
-        self._due = 0.0
+        self._next_read_at = 0.0
         self.read_at = -1e9
-        # When the choice of who counts was last surely the newest.
+        # When the quota holders were last confirmed to be the newest.
         self.quota_holders_confirmed_at = -1e9
-        self.reachable = True
+        self.is_platform_reachable = True
         self._relayed_until = -1e9
-        self._bytes: bytes | None = None
+        self._relay_bytes: bytes | None = None
         self.is_leader: Callable[[], bool] = lambda: False
-        self.on_other: OnOther | None = None
-        # Called with when the store was asked, and its era.
-        self.on_read: Callable[[float, int], None] | None = None
+        self.on_other_object: OnOtherObject | None = None
+        # Called with the time at which the read was sent, and the store's era.
+        self.on_records_read: Callable[[float, int], None] | None = None
 
     def start(self) -> None:
-        """Read now and from then on."""
+        """Start to read the records periodically."""
         self._tick()
 
     def request_read(self, group: str) -> None:
-        """Read soon: something speaks against the record of a group."""
-        self._doubted = True
-        soon = max(self._reactor.now(), self._asked_at + DOUBT_INTERVAL)
-        if soon < self._due:
-            self._due = soon
+        """Read the records soon: a group's record may be out of date."""
+        self._read_requested = True
+        due_at = max(
+            self._reactor.now(), self._asked_at + REQUESTED_READ_INTERVAL
+        )
+        if due_at < self._next_read_at:
+            self._next_read_at = due_at
             self._reactor.call_later(
-                max(0.0, soon - self._reactor.now()), self._ask_if_due
+                max(0.0, due_at - self._reactor.now()), self._read_if_due
             )
 
     def as_bytes(self) -> bytes:
-        """Return all records as they are passed on to other VMs."""
-        if self._bytes is None:
-            agreed = [
+        """Return all records, encoded for other VMs."""
+        if self._relay_bytes is None:
+            records = [
                 group.record
                 for _name, group in sorted(self._board.groups.items())
                 if group.record is not None
             ]
             rows: list[RecordRow] = [
-                (r.group, r.version, encode_record(r), self._era_without(r))
-                for r in agreed
+                (r.group, r.version, encode_record(r), self._unsettled_era(r))
+                for r in records
             ]
             holders = self._board.quota_holders
             if holders is not None:
                 value = encode_holders(holders)
-                lost = self._board.quota_unsettled
-                era = lost.era if lost is not None else 0
+                unsettled = self._board.quota_unsettled
+                era = unsettled.era if unsettled is not None else 0
                 rows.append((HOLDERS_NAME, holders.version, value, era))
-            self._bytes = orjson.dumps(rows)
-        return self._bytes
+            self._relay_bytes = orjson.dumps(rows)
+        return self._relay_bytes
 
     def apply_relayed(
         self,
@@ -149,10 +153,11 @@
         asked_at: float,
         until: float,
     ) -> None:
-        """Take what the leader has read; None: as we have it.
+        """Apply the records that the leader has read.
 
-        `asked_at` is the latest instant at which its question to the store
-        can't have been sent yet.
+        `rows` is None if they are the same as here. `asked_at` is no later
+        than the time at which the leader's read was sent. Periodic reads of
+        the store pause until `until`.
         """
         self._relayed_until = until
         self.read_at = max(self.read_at, asked_at)
@@ -161,9 +166,9 @@
                 found = Found(
                     kind=RECORD_KIND, name=name, version=version, value=value
                 )
-                self._take_object(found, None if era else asked_at)
+                self._apply_object(found, None if era else asked_at)
                 if era:
-                    self._note_unsettled(name, era)
+                    self._mark_unsettled(name, era)
             return
         if self._board.quota_unsettled is None:
             self._confirm_holders(asked_at)
@@ -172,45 +177,51 @@
                 self.apply(group.record, asked_at)
 
     def read_directly(self) -> None:
-        """Read the store again: nobody passes records on."""
+        """Resume reading the store when no VM passes the records on."""
         self._relayed_until = -1e9
-        self._due = min(self._due, self._reactor.now())
-        self._ask_if_due()
+        self._next_read_at = min(self._next_read_at, self._reactor.now())
+        self._read_if_due()
 
     def apply(
         self, record: PrimaryRecord, asked_at: float | None = None
     ) -> None:
-        """Take a record in; with `asked_at` it also is a proof.
+        """Apply a record; with `asked_at` it is also a proof.
 
-        One that may not be the newest proves nothing, but is used, by the word
-        of the targets, where none is known that was stored later.
+        A record that may not be the newest proves nothing. It is still used,
+        with proofs from the targets, unless a later one is known.
         """
         group = self._board.group(record.group)
         known = group.record
         if known is not None and record.sort_key < known.sort_key:
             if not record.is_current:
-                self._unsettle(group, era_of(record.version), record.version)
-            # Otherwise it was overtaken on the way by a newer one.
+                self._mark_group_unsettled(
+                    group, era_of(record.version), record.version
+                )
+            # Otherwise a newer record arrived before this one.
             return
         if known is None or record.sort_key > known.sort_key:
             self._replace(group, record)
         if not record.is_current:
-            self._unsettle(group, era_of(record.version), record.version)
+            self._mark_group_unsettled(
+                group, era_of(record.version), record.version
+            )
             return
-        self._settle(group, record)
+        self._mark_group_settled(group, record)
         if asked_at is None or record.change is not None:
             return
-        if self._may_take_proofs(self._reactor.now()):
+        if self._can_take_proofs(self._reactor.now()):
             group.proof.renew(asked_at)
 
-    def _note_unsettled(self, name: str, era: int) -> None:
+    def _mark_unsettled(self, name: str, era: int) -> None:
         if name == HOLDERS_NAME:
-            self._unsettle_holders(era, 0)
+            self._mark_holders_unsettled(era, 0)
         else:
-            self._unsettle(self._board.group(name), era, 0)
+            self._mark_group_unsettled(self._board.group(name), era, 0)
 
-    def _unsettle(self, group: SessionGroup, era: int, version: int) -> None:
-        """Note that in an era the store shows no record of that era."""
+    def _mark_group_unsettled(
+        self, group: SessionGroup, era: int, version: int
+    ) -> None:
+        """Record that the store has no record of `era` for this group."""
         known = group.record
         if known is not None and known.era >= era:
             return
@@ -222,7 +233,7 @@
         ):
             return
         group.unsettled = unsettled
-        self._bytes = None
+        self._relay_bytes = None
         if before is None:
             logs.log_event(
                 "record_unsettled",
@@ -233,31 +244,33 @@
                 known_version=version_text(known.version if known else 0),
             )
 
-    def _settle(self, group: SessionGroup, record: PrimaryRecord) -> None:
+    def _mark_group_settled(
+        self, group: SessionGroup, record: PrimaryRecord
+    ) -> None:
         unsettled = group.unsettled
         if unsettled is not None and record.era >= unsettled.era:
             group.unsettled = None
-            self._bytes = None
+            self._relay_bytes = None
 
-    def _era_without(self, record: PrimaryRecord) -> int:
-        """Return the era in which the store has not this record; 0: it has."""
+    def _unsettled_era(self, record: PrimaryRecord) -> int:
+        """Return the era in which the store lacks this record, 0 if none."""
         unsettled = self._board.group(record.group).unsettled
         return unsettled.era if unsettled is not None else 0
 
     def _replace(self, group: SessionGroup, record: PrimaryRecord) -> None:
         known = group.record
-        same = (
+        same_primary = (
             known is not None
             and known.primary == record.primary
             and known.term == record.term
         )
-        self._bytes = None
+        self._relay_bytes = None
         group.record = record
         if record.change is not None:
-            self._close(group, known, record)
+            self._begin_change(group, known, record)
         else:
-            self._open(group, record)
-        if not same:
+            self._use_primary(group, record)
+        if not same_primary:
             group.proof.invalidate()
             group.samples.clear()
         logs.log_event(
@@ -270,22 +283,22 @@
             by=record.change.vm if record.change else "",
         )
 
-    def _close(
+    def _begin_change(
         self,
         group: SessionGroup,
         known: PrimaryRecord | None,
         record: PrimaryRecord,
     ) -> None:
-        """Use the primary no more; what is under way may still be answered.
+        """Stop using the primary, but accept answers to requests in flight.
 
-        Nobody promotes another one before our proof has lapsed, or before we
-        have said that we let go of it.
+        No other target is promoted before this VM's proof has expired or this
+        VM has reported that it released the proof.
         """
         if not group.is_changing:
             group.change_seen_at = self._reactor.now()
         group.is_changing = True
         if known is not None and known.change is None:
-            group.outgoing_primary = Outgoing(
+            group.outgoing_primary = OutgoingPrimary(
                 target=known.primary,
                 proof=Proof(asked_at=group.proof.asked_at),
             )
@@ -293,80 +306,85 @@
 
         change = record.change
         if change is not None and change.cause in FAILED_CAUSES:
-            # In a later turn: what is given up asks the board anew.
+            # In a later turn of the event loop, because statements that fail
+            # here read the board again.
             self._reactor.call_later(
-                0, lambda: self._on_failed(group.name, record.primary)
+                0, lambda: self._on_primary_failed(group.name, record.primary)
             )
 
-    def _open(self, group: SessionGroup, record: PrimaryRecord) -> None:
-        """Go on with the primary of a record without a change."""
+    def _use_primary(self, group: SessionGroup, record: PrimaryRecord) -> None:
+        """Use the primary of a record without a change."""
         group.outgoing_primary = None
-        group.settled_at = self._reactor.now()
+        group.primary_set_at = self._reactor.now()
         if group.is_changing:
             took = self._reactor.now() - group.change_seen_at
             self._board.change_duration += CHANGE_SMOOTHING * (
-                min(took, LONGEST_CHANGE) - self._board.change_duration
+                min(took, MAX_CHANGE_DURATION) - self._board.change_duration
             )
         group.is_changing = False
 
     def _tick(self) -> None:
-        # Armed first: a fault in one round must not end all that follow.
+        # Scheduled first: an exception must not stop all later rounds.
         self._reactor.call_later(CHECK_INTERVAL, self._tick)
-        self._ask_if_due()
-        self._renew_by_targets()
+        self._read_if_due()
+        self._renew_proofs_by_targets()
 
-    def _ask_if_due(self) -> None:
+    def _read_if_due(self) -> None:
         now = self._reactor.now()
-        if self._busy or now < self._due:
+        if self._is_reading or now < self._next_read_at:
             return
-        if now < self._relayed_until and not self._doubted:
+        if now < self._relayed_until and not self._read_requested:
             return
-        self._doubted = False
-        self._busy = True
+        self._read_requested = False
+        self._is_reading = True
         self._asked_at = now
-        self._due = now + (LEADER_INTERVAL if self.is_leader() else INTERVAL)
+        self._next_read_at = now + (
+            LEADER_READ_INTERVAL if self.is_leader() else READ_INTERVAL
+        )
         self._platform.list(
-            RECORD_KIND, "records", self._answered, timeout=TIMEOUT
+            RECORD_KIND, "records", self._on_read, timeout=READ_TIMEOUT
         )
 
-    def _answered(self, result: Changes | Unavailable) -> None:
-        self._busy = False
+    def _on_read(self, result: Changes | Unavailable) -> None:
+        self._is_reading = False
         asked_at = self._asked_at
         match result:
             case Changes(objects=objects, revision=revision):
-                self._reached(True)
+                self._set_reachable(True)
                 self.read_at = asked_at
                 for found in objects:
-                    self._take_object(found, asked_at)
-                self._note_missing(objects, era_of(revision))
-                if self.on_read is not None:
-                    self.on_read(asked_at, era_of(revision))
+                    self._apply_object(found, asked_at)
+                self._mark_missing(objects, era_of(revision))
+                if self.on_records_read is not None:
+                    self.on_records_read(asked_at, era_of(revision))
             case Unavailable(retry_after=retry_after, reason=reason):
-                self._reached(False, reason)
+                self._set_reachable(False, reason)
                 now = self._reactor.now()
-                self._due = min(self._due, now + max(retry_after, 0.05))
+                self._next_read_at = min(
+                    self._next_read_at, now + max(retry_after, 0.05)
+                )
 
-    def _note_missing(self, objects: tuple[Found, ...], era: int) -> None:
-        """Note records that the store had in an earlier era and lost."""
-        shown = {found.name for found in objects}
+    def _mark_missing(self, objects: tuple[Found, ...], era: int) -> None:
+        """Mark records that the store lost since an earlier era."""
+        listed = {found.name for found in objects}
         for name, group in self._board.groups.items():
-            if group.record is not None and name not in shown:
-                self._unsettle(group, era, 0)
-        if HOLDERS_NAME not in shown:
-            self._unsettle_holders(era, 0)
+            if group.record is not None and name not in listed:
+                self._mark_group_unsettled(group, era, 0)
+        if HOLDERS_NAME not in listed:
+            self._mark_holders_unsettled(era, 0)
 
-    def _take_object(self, found: Found, asked_at: float | None) -> None:
+    def _apply_object(self, found: Found, asked_at: float | None) -> None:
         if isinstance(found.value, dict) and "primary" in found.value:
-            record = read_record(found)
+            record = decode_record(found)
             if record is not None:
                 self.apply(record, asked_at)
         elif found.name == HOLDERS_NAME:
-            self._take_holders(found, asked_at)
-        elif self.on_other is not None and asked_at is not None:
-            self.on_other(found, asked_at)
+            self._apply_holders(found, asked_at)
+        elif self.on_other_object is not None and asked_at is not None:
+            self.on_other_object(found, asked_at)
 
-    def _take_holders(self, found: Found, asked_at: float | None) -> None:
-        """Take who counts; what may not be the newest confirms nothing."""
+    def _apply_holders(self, found: Found, asked_at: float | None) -> None:
+        """Apply the quota holders; confirm only the newest ones."""
         known = self._board.quota_holders
         if known is None or found.version != known.version:
             holders = decode_holders(found)
@@ -375,12 +393,14 @@
             if known is None or holders.sort_key > known.sort_key:
                 self._replace_holders(holders)
             if not holders.is_current:
-                self._unsettle_holders(era_of(found.version), found.version)
+                self._mark_holders_unsettled(
+                    era_of(found.version), found.version
+                )
                 return
-        self._settle_holders()
+        self._mark_holders_settled()
         board = self._board
-        same = board.quota_holders and board.quota_holders.version
-        if board.quota_unsettled is None and found.version == same:
+        known_version = board.quota_holders and board.quota_holders.version
+        if board.quota_unsettled is None and found.version == known_version:
             self._confirm_holders(asked_at)
 
     def _confirm_holders(self, asked_at: float | None) -> None:
@@ -389,24 +409,37 @@
                 self.quota_holders_confirmed_at, asked_at
             )
 
-    def _unsettle_holders(self, era: int, version: int) -> None:
-        known, lost = self._board.quota_holders, self._board.quota_unsettled
+    def _mark_holders_unsettled(self, era: int, version: int) -> None:
+        known, unsettled = (
+            self._board.quota_holders,
+            self._board.quota_unsettled,
+        )
         if known is None or known.era >= era:
             return
-        if lost is None or (lost.era, lost.version) < (era, version):
-            self._bytes = None
+        if unsettled is None or (unsettled.era, unsettled.version) < (
+            era,
+            version,
+        ):
+            self._relay_bytes = None
             self._board.quota_unsettled = UnsettledState(
                 era=era, version=version
             )
 
-    def _settle_holders(self) -> None:
-        known, lost = self._board.quota_holders, self._board.quota_unsettled
-        if known is not None and lost is not None and known.era >= lost.era:
-            self._bytes = None
+    def _mark_holders_settled(self) -> None:
+        known, unsettled = (
+            self._board.quota_holders,
+            self._board.quota_unsettled,
+        )
+        if (
+            known is not None
+            and unsettled is not None
+            and known.era >= unsettled.era
+        ):
+            self._relay_bytes = None
             self._board.quota_unsettled = None
 
     def _replace_holders(self, holders: QuotaHolders) -> None:
-        self._bytes = None
+        self._relay_bytes = None
         self._board.quota_holders = holders
         logs.log_event(
             "quota_holders",
@@ -415,64 +448,64 @@
             handing_over=holders.previous is not None,
         )
 
-    def _reached(self, reachable: bool, reason: str = "") -> None:
-        if reachable == self.reachable:
+    def _set_reachable(self, is_reachable: bool, reason: str = "") -> None:
+        if is_reachable == self.is_platform_reachable:
             return
-        self.reachable = reachable
+        self.is_platform_reachable = is_reachable
         age = self._reactor.now() - self.read_at
         logs.log_event(
-            "platform_regained" if reachable else "platform_lost",
-            level=logs.Level.INFO if reachable else logs.Level.WARNING,
+            "platform_regained" if is_reachable else "platform_lost",
+            level=logs.Level.INFO if is_reachable else logs.Level.WARNING,
             reason=reason,
             records_age_ms=round(min(age, 1e6) * 1000),
         )
 
-    # Proofs without the store.
+    # Proofs from the targets.
 
-    def _renew_by_targets(self) -> None:
+    def _renew_proofs_by_targets(self) -> None:
         now = self._reactor.now()
         for group in self._board.groups.values():
-            if now - group.proof.asked_at < RENEW_BY_TARGETS:
+            if now - group.proof.asked_at < ASK_TARGETS_AGE:
                 continue
             if group.unsettled is None and now - self.read_at <= 0.5:
                 continue
-            # A first proof always comes from the store: what a process that
-            # has just started knows of targets may be far too old.
+            # The first proof must come from the store: a process that has just
+            # started may know an outdated list of targets.
             if group.primary() is not None and self.read_at > 0:
-                self._ask_others(group, now)
+                self._ask_other_targets(group, now)
 
-    def _ask_others(self, group: SessionGroup, now: float) -> None:
+    def _ask_other_targets(self, group: SessionGroup, now: float) -> None:
         record = group.record
-        if record is None or group.name in self._asking:
+        if record is None or group.name in self._surveyed_groups:
             return
         others = [name for name in group.targets if name != record.primary]
         if not others:
             return
-        self._asking.add(group.name)
+        self._surveyed_groups.add(group.name)
         reports: dict[str, TargetReport | None] = {}
-        left = len(others)
+        remaining = len(others)
 
-        def heard(name: str, result: TargetReport | NoReport) -> None:
-            nonlocal left
-            left -= 1
+        def handle(name: str, result: TargetReport | NoReport) -> None:
+            nonlocal remaining
+            remaining -= 1
             if isinstance(result, TargetReport):
                 reports[name] = result
             elif result.refused:
                 reports[name] = None
-            if left == 0:
-                self._asking.discard(group.name)
-                self._judge_others(group, record, others, reports, now)
+            if remaining == 0:
+                self._surveyed_groups.discard(group.name)
+                self._renew_if_confirmed(group, record, others, reports, now)
 
         for name in others:
             self._questions.ask(
                 group,
                 name,
                 AskReport(),
-                TARGETS_TIMEOUT,
-                lambda result, name=name: heard(name, result),  # type: ignore
+                REPORT_TIMEOUT,
+                lambda result, name=name: handle(name, result),  # type: ignore
             )
 
-    def _judge_others(
+    def _renew_if_confirmed(
         self,
         group: SessionGroup,
         record: PrimaryRecord,
@@ -480,14 +513,14 @@
         reports: dict[str, TargetReport | None],
         asked_at: float,
     ) -> None:
-        agree = others_agree(others, reports, record.term)
-        same = group.record is record and record.change is None
-        if agree and same and self._may_take_proofs(asked_at):
+        is_confirmed = others_confirm_term(others, reports, record.term)
+        is_current = group.record is record and record.change is None
+        if is_confirmed and is_current and self._can_take_proofs(asked_at):
             group.proof.renew(asked_at)
         logs.log_event(
             "asked_targets",
             group=group.name,
-            agree=agree,
+            agree=is_confirmed,
             heard=sum(r is not None for r in reports.values()),
             asked=len(others),
             term=record.term,
--- a/bamboospring/sessions/record_settler.py
+++ b/bamboospring/sessions/record_settler.py
@@ -1,4 +1,7 @@
-"""Settle groups whose newest record the store may have lost."""
+"""Settle groups whose newest record the store may have lost.
+
+See `settled_record` for the decisions.
+"""
 
 from __future__ import annotations
 
@@ -19,29 +22,30 @@
 from bamboospring.sessions.proof_release import ProofReleases
 from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.settled_record import latest_known
+from bamboospring.sessions.settled_record import latest_known_record
 from bamboospring.sessions.settled_record import settled_record
 from bamboospring.sessions.target_control import NoReport
 from bamboospring.sessions.target_control import TargetControl
 from bamboospring.store_version import UnsettledState
 
-__all__ = ["Settler"]
+__all__ = ["RecordSettler"]
 
-# Seconds between two surveys of a group, and the time for the answers.
-INTERVAL = 0.2
+# Seconds between two surveys of a group, and the timeout of the answers.
+SURVEY_INTERVAL = 0.2
 SURVEY_TIMEOUT = 0.5
-# Targets that do not agree for so many seconds get a new primary.
-PATIENCE = 1.0
+# Seconds after which the primary is replaced if the targets do not agree.
+DISAGREEMENT_TIMEOUT = 1.0
 STORE_TIMEOUT = 1.0
 
-# Called with a group whose primary is recorded anew.
+# Called with a group whose primary was recorded again.
 OnSettled = Callable[[SessionGroup], None]
-# Called with a group to replace the primary of, and what is known of it.
+# Called with a group whose primary must be replaced, and the latest record
+# known of it.
 OnDisagreed = Callable[[SessionGroup, PrimaryRecord], None]
 
 
-class Settler:
-    """Surveys unsettled groups, on the VM that leads."""
+class RecordSettler:
+    """Surveys unsettled groups while this VM is the leader."""
 
     def __init__(
         self,
@@ -51,7 +55,7 @@
         questions: TargetControl,
         records: RecordKeeper,
         releases: ProofReleases,
-        leads: Callable[[], bool],
+        is_leader: Callable[[], bool],
         on_settled: OnSettled,
         on_disagreed: OnDisagreed,
     ) -> None:
@@ -60,25 +64,25 @@
         self._questions = questions
         self._records = records
         self._releases = releases
-        self._leads = leads
+        self._is_leader = is_leader
         self._on_settled = on_settled
         self._on_disagreed = on_disagreed
         self._busy: set[str] = set()
-        self._looked_at: dict[str, float] = {}
-        self._began_at: dict[str, float] = {}
+        self._surveyed_at: dict[str, float] = {}
+        self._unsettled_since: dict[str, float] = {}
 
     def tick(self, group: SessionGroup) -> None:
-        """Go on with a group that is unsettled and has no change under way."""
+        """Survey an unsettled group without a change, if that is due."""
         now = self._reactor.now()
         if group.name in self._busy:
             return
-        if now - self._looked_at.get(group.name, -1e9) < INTERVAL:
+        if now - self._surveyed_at.get(group.name, -1e9) < SURVEY_INTERVAL:
             return
         known, unsettled = group.record, group.unsettled
         if known is None or unsettled is None or not group.targets:
             return
-        self._began_at.setdefault(group.name, now)
-        self._looked_at[group.name] = now
+        self._unsettled_since.setdefault(group.name, now)
+        self._surveyed_at[group.name] = now
         self._busy.add(group.name)
         self._survey(group, known, unsettled)
 
@@ -90,17 +94,19 @@
     ) -> None:
         targets = tuple(group.targets)
         reports: dict[str, TargetReport | None] = {}
-        left = set(targets)
+        remaining = set(targets)
 
-        def heard(name: str, result: TargetReport | NoReport) -> None:
-            left.discard(name)
+        def handle(name: str, result: TargetReport | NoReport) -> None:
+            remaining.discard(name)
             if isinstance(result, TargetReport):
                 reports[name] = result
             elif result.refused:
                 reports[name] = None
-            if not left:
+            if not remaining:
                 self._busy.discard(group.name)
-                self._judge(group, known, unsettled, targets, reports)
+                self._settle_or_replace(
+                    group, known, unsettled, targets, reports
+                )
 
         for name in targets:
             self._questions.ask(
@@ -108,10 +114,10 @@
                 name,
                 AskReport(),
                 SURVEY_TIMEOUT,
-                lambda result, name=name: heard(name, result),  # type: ignore
+                lambda result, name=name: handle(name, result),  # type: ignore
             )
 
-    def _judge(
+    def _settle_or_replace(
         self,
         group: SessionGroup,
         known: PrimaryRecord,
@@ -119,15 +125,18 @@
         targets: tuple[str, ...],
         reports: dict[str, TargetReport | None],
     ) -> None:
-        same = group.record is known and group.unsettled == unsettled
-        if not same or not self._leads():
+        is_unchanged = group.record is known and group.unsettled == unsettled
+        if not is_unchanged or not self._is_leader():
             return
         record = settled_record(known, unsettled, targets, reports)
         if record is not None:
             self._store(group, record)
             return
         now = self._reactor.now()
-        if now - self._began_at.get(group.name, now) < PATIENCE:
+        if (
+            now - self._unsettled_since.get(group.name, now)
+            < DISAGREEMENT_TIMEOUT
+        ):
             return
         logs.log_event(
             "targets_disagree",
@@ -138,8 +147,10 @@
             heard=sum(report is not None for report in reports.values()),
             asked=len(targets),
         )
-        self._began_at.pop(group.name, None)
-        self._on_disagreed(group, latest_known(known, unsettled, reports))
+        self._unsettled_since.pop(group.name, None)
+        self._on_disagreed(
+            group, latest_known_record(known, unsettled, reports)
+        )
 
     def _store(self, group: SessionGroup, record: PrimaryRecord) -> None:
         self._busy.add(group.name)
@@ -157,7 +168,7 @@
                 outcome=type(result).__name__,
             )
             if isinstance(result, Stored):
-                self._began_at.pop(group.name, None)
+                self._unsettled_since.pop(group.name, None)
                 self._releases.publish(record, result.version)
                 self._on_settled(group)
             else:
--- a/bamboospring/sessions/settled_record.py
+++ b/bamboospring/sessions/settled_record.py
@@ -1,12 +1,12 @@
-"""Agree anew on a group's primary where the store may have lost the record.
+"""Determine a group's primary after the store may have lost its record.
 
-A store that has come back from an older copy shows a record that may have been
-replaced since: a primary was promoted, and the store no longer says so. Such a
-record proves nothing. The targets know better: each change has a target hold
-its term before anything else is done, and whoever follows a primary knows its
-term. So where one target leads and all others know of no later term, it is the
-primary, and is recorded in the present era of the store. Where they do not
-agree, the primary is replaced as by any planned change, with a term above all.
+A store that was restored from an older copy may show a record that has been
+replaced since: a target was promoted, but the store no longer has that record.
+Such a record proves nothing, but the targets know the newest term: each change
+first has a target hold its term, and a target that follows a primary knows its
+term. So if one target is primary and all others know no later term, it is
+recorded as the primary in the current era of the store. If they do not agree,
+the primary is replaced as in a planned change, with a term above all others.
 
 Pure decisions.
 """
@@ -21,7 +21,7 @@
 from bamboospring.sessions.proofs import TargetReport
 from bamboospring.store_version import UnsettledState
 
-__all__ = ["latest_known", "settled_record"]
+__all__ = ["latest_known_record", "settled_record"]
 
 
 def settled_record(
@@ -32,41 +32,41 @@
 ) -> PrimaryRecord | None:
     """Return the record on which all targets agree, None if they don't.
 
-    `reports` are as for `others_agree`; `known` is the newest record that is
-    known of, whether or not the store still has it. A former primary that
-    still leads an earlier term speaks against nothing.
+    `reports` are as for `others_confirm_term`. `known` is the newest known
+    record, whether or not the store still has it. A former primary of an
+    earlier term that still reports itself as primary does not matter.
     """
-    latest = latest_known(known, unsettled, reports)
+    latest = latest_known_record(known, unsettled, reports)
     report = reports.get(latest.primary)
     if report is None or not report.is_primary or report.term != latest.term:
         return None
     others = [name for name in targets if name != latest.primary]
-    if others and not _none_beyond(others, reports, latest.term):
+    if others and not _no_later_term(others, reports, latest.term):
         return None
     return dataclasses.replace(latest, change=None)
 
 
-def _none_beyond(
+def _no_later_term(
     others: Collection[str],
     reports: Mapping[str, TargetReport | None],
     term: int,
 ) -> bool:
     if any(name not in reports for name in others):
         return False
-    heard = [report for report in reports.values() if report is not None]
-    if len(heard) < 2:
+    received = [report for report in reports.values() if report is not None]
+    if len(received) < 2:
         return False
-    return all(report.newest_term <= term for report in heard)
+    return all(report.newest_term <= term for report in received)
 
 
-def latest_known(
+def latest_known_record(
     known: PrimaryRecord,
     unsettled: UnsettledState,
     reports: Mapping[str, TargetReport | None],
 ) -> PrimaryRecord:
-    """Return the newest primary that is known or shows itself.
+    """Return a record of the newest primary that is known or reports itself.
 
-    It may not be the newest there is. It replaces what the store shows.
+    A newer primary may exist. The record is to replace the stored one.
     """
     latest = dataclasses.replace(
         known, version=unsettled.version, era=unsettled.era
--- a/bamboospring/sessions/takeover.py
+++ b/bamboospring/sessions/takeover.py
@@ -1,27 +1,27 @@
-"""One change of a group's primary, step by step.
+"""State machine for one change of a group's primary.
 
     survey -> intend -> hold -> wait -> verify -> seal -> check -> (name)
     -> promote -> confirm -> record
 
-A primary that is replaced does not know and goes on answering. What keeps
-anybody from using it is that proofs of a primary lapse (see `proofs`). A
-change therefore first makes new proofs impossible: it writes its intent into
-the group's record, and has a replica hold the next term. The record stops
-those who read the store; the held term stops those who can't and ask all
-targets instead. Then it waits until proofs given before have lapsed, or until
-every VM has let go of its own, and only then promotes.
+A replaced primary is not notified and keeps answering. VMs stop using it
+because their proofs expire (see `proofs`). A change therefore first blocks new
+proofs: it writes its intent into the group's record and has a replica hold the
+next term. The record blocks VMs that read the store; the held term blocks
+those that can't and ask all targets instead. The change then waits until
+earlier proofs have expired, or until every VM has released its proof, and only
+then promotes.
 
-The replica that holds the term takes nothing from its primary any more, so
-where there are two it is the one that will not be promoted: the other one
-receives until the end, and nothing that was acknowledged meanwhile is lost
-with a primary that only leaves.
+The replica that holds the term no longer receives from the primary. With two
+replicas it is therefore the one that will not be promoted: the other one
+receives until the end, so no commit acknowledged in the meantime is lost when
+the primary is merely leaving.
 
 A store call without an answer may still take effect, so the record is read
-back; the nonce in it tells whose it is. The order to promote may be repeated
-for the same target. Another target is ordered only after a new survey, with a
-term above all that any target has shown.
+back; its nonce identifies the writer. The order to promote may be repeated for
+the same target. Another target is ordered only after a new survey, with a term
+above every term reported by any target.
 
-This module does no I/O. Each method returns the actions to carry out.
+This module does no I/O. Each method returns the actions to execute.
 """
 
 from __future__ import annotations
@@ -47,22 +47,23 @@
     "ReadRecord",
     "StoreRecord",
     "Takeover",
-    "TellTarget",
+    "SendToTarget",
 ]
 
-# Seconds. A target answers in milliseconds; one that is busy takes longer.
-SURVEY_PATIENCE = 0.5
-# Once a replica has answered, the others get this much longer.
-SURVEY_GRACE = 0.1
-# What has no answer is sent again after this.
-RESEND = 0.25
-# A leaving primary still takes commits; its replica may need this much
-# longer to have received the last of them.
-CATCH_UP = 0.5
-# So often a second target to hold the term is looked for.
-MOST_LONE_TRIES = 3
-# A promotion takes about a second; after three more it has failed.
-CONFIRM_PATIENCE = 4.0
+# Seconds. A target answers in milliseconds, a busy one takes longer.
+SURVEY_TIMEOUT = 0.5
+# After this many seconds the survey no longer waits for a failed primary, and
+# the verification waits only for the target that holds the term.
+SURVEY_GRACE_PERIOD = 0.1
+# Seconds after which an unanswered request is sent again.
+RESEND_INTERVAL = 0.25
+# A leaving primary still accepts commits. Its replica may need this many
+# seconds to receive the last of them.
+CATCH_UP_TIMEOUT = 0.5
+# Attempts to find a second target that can hold the term.
+MAX_SECOND_HOLDER_TRIES = 3
+# A promotion takes about a second. It has failed after three more.
+CONFIRM_TIMEOUT = 4.0
 CONFIRM_INTERVAL = 0.1
 
 
@@ -84,7 +85,7 @@
 
     @property
     def is_planned(self) -> bool:
-        """Tell whether the primary still works."""
+        """Return whether the change is made although the primary works."""
         return self in (
             TakeoverCause.LEAVING,
             TakeoverCause.ORDERED,
@@ -94,7 +95,7 @@
 
 
 class TakeoverPhase(Enum):
-    """How far a change has come."""
+    """The current step of a change."""
 
     SURVEY = "survey"
     INTEND = "intend"
@@ -112,8 +113,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TellTarget:
-    """Send an order to a target and report its answer."""
+class SendToTarget:
+    """Send an order to a target; the answer goes to `on_report`."""
 
     target: str
     order: AskReport | HoldTerm
@@ -121,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreRecord:
-    """Store the group's record if it is still at the version named."""
+    """Store the group's record if the stored version is `record.version`."""
 
     record: PrimaryRecord
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReadRecord:
-    """Read the group's record back."""
+    """Read the group's record from the store."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -138,15 +139,17 @@
     target: str
 
 
-Action = TellTarget | StoreRecord | ReadRecord | OrderPromotion
+Action = SendToTarget | StoreRecord | ReadRecord | OrderPromotion
 
 
 @dataclass(slots=True, kw_only=True)
 class Takeover:
     """One attempt to change a group's primary.
 
-    `record` is the record as last read; `targets` are those that may be
-    asked, `unfit` those that must not be promoted.
+    `record` is the record as last read or stored. `targets` are all targets of
+    the group; those in `ineligible` must not be promoted. `term_holder` and
+    `second_holder` are targets that hold the new term. `reports` has None for
+    a target whose process is not running.
     """
 
     vm: str
@@ -154,57 +157,57 @@
     cause: TakeoverCause
     record: PrimaryRecord
     targets: Collection[str]
-    unfit: Collection[str] = ()
+    ineligible: Collection[str] = ()
     phase: TakeoverPhase = TakeoverPhase.SURVEY
     term: int = 0
     candidate: str = ""
-    holder: str = ""
-    second: str = ""
-    end: str = ""
+    term_holder: str = ""
+    second_holder: str = ""
+    end_reason: str = ""
     reports: dict[str, TargetReport | None] = field(default_factory=dict)
-    released: bool = False
+    proofs_released: bool = False
     _phase_at: float = 0.0
     _sent_at: float = 0.0
-    _closed_at: float = 0.0
+    _proofs_blocked_at: float = 0.0
     _storing: bool = False
-    _lone_tries: int = 0
+    _second_holder_tries: int = 0
     _refused: set[str] = field(default_factory=set)
 
     @property
-    def over(self) -> bool:
-        """Tell whether nothing is left to do."""
+    def is_over(self) -> bool:
+        """Return whether the change has succeeded or failed."""
         return self.phase in (TakeoverPhase.DONE, TakeoverPhase.GIVEN_UP)
 
     def begin(self, now: float) -> list[Action]:
-        """Start: ask all targets how things stand."""
+        """Start by asking all targets for their reports."""
         return self._survey(now)
 
     # Events.
 
-    def replied(
+    def on_report(
         self, target: str, report: TargetReport | None, now: float
     ) -> list[Action]:
-        """Take a target's answer; None if its process is not running."""
+        """Handle a target's report; None if its process is not running."""
         self.reports[target] = report
         match self.phase:
             case TakeoverPhase.SURVEY:
                 return self._try_leave_survey(now)
-            case TakeoverPhase.HOLD if target == self.holder:
-                return self._held(report, now)
+            case TakeoverPhase.HOLD if target == self.term_holder:
+                return self._on_hold_report(report, now)
             case TakeoverPhase.VERIFY:
                 return self._try_leave_verify(now)
-            case TakeoverPhase.SEAL if target == self.second:
-                return self._sealed(report, now)
-            case TakeoverPhase.CHECK if target == self.holder:
-                return self._checked(report, now)
+            case TakeoverPhase.SEAL if target == self.second_holder:
+                return self._on_seal_report(report, now)
+            case TakeoverPhase.CHECK if target == self.term_holder:
+                return self._on_check_report(report, now)
             case TakeoverPhase.CONFIRM if target == self.candidate:
-                return self._confirmed(report, now)
+                return self._on_confirm_report(report, now)
         return []
 
-    def stored(self, version: int, now: float) -> list[Action]:
-        """Take that the record was stored."""
+    def on_stored(self, version: int, now: float) -> list[Action]:
+        """Handle a successful update of the record."""
         self._storing = False
-        record = self._wanted()
+        record = self._next_record()
         self.record = PrimaryRecord(
             group=record.group,
             version=version,
@@ -215,21 +218,23 @@
         )
         match self.phase:
             case TakeoverPhase.INTEND:
-                self._closed_at = now
+                self._proofs_blocked_at = now
                 return self._hold(now)
             case TakeoverPhase.NAME:
-                return self._order(now)
+                return self._order_promotion(now)
             case TakeoverPhase.RECORD:
                 self._enter(TakeoverPhase.DONE, now)
         return []
 
-    def store_unsure(self, now: float) -> list[Action]:
-        """Take that nothing is known of an update: `tick` reads it back."""
+    def on_store_unanswered(self, now: float) -> list[Action]:
+        """Handle an update with unknown outcome; `tick` reads it back."""
         self._sent_at = now
         return []
 
-    def read(self, record: PrimaryRecord, now: float) -> list[Action]:
-        """Take the record as the store has it."""
+    def on_record_read(
+        self, record: PrimaryRecord, now: float
+    ) -> list[Action]:
+        """Handle a read of the record."""
         self._storing = False
         if self.phase not in (
             TakeoverPhase.INTEND,
@@ -239,13 +244,15 @@
             return []
         if record.version == self.record.version:
             return self._store(now)
-        if self._is_wanted(record):
-            return self.stored(record.version, now)
+        if self._is_next_record(record):
+            return self.on_stored(record.version, now)
         self._give_up("another process has changed the record", now)
         return []
 
-    def ordered(self, result: PromotionResult, now: float) -> list[Action]:
-        """Take what became of the order to promote."""
+    def on_promotion_result(
+        self, result: PromotionResult, now: float
+    ) -> list[Action]:
+        """Handle the result of the order to promote."""
         if self.phase is not TakeoverPhase.PROMOTE:
             return []
         match result:
@@ -259,36 +266,36 @@
                 self._sent_at = now
         return []
 
-    def all_released(self, now: float) -> list[Action]:
-        """Take that every VM has let go of its proof of the primary."""
-        self.released = True
+    def on_proofs_released(self, now: float) -> list[Action]:
+        """Handle that every VM has released its proof of the primary."""
+        self.proofs_released = True
         return self.tick(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Go on with what is due, and send again what has no answer."""
-        waited = now - self._phase_at
+        """Advance if a wait has ended, and resend unanswered requests."""
+        elapsed = now - self._phase_at
         match self.phase:
-            case TakeoverPhase.SURVEY if waited >= SURVEY_PATIENCE:
+            case TakeoverPhase.SURVEY if elapsed >= SURVEY_TIMEOUT:
                 return self._leave_survey(now)
-            case TakeoverPhase.SURVEY if waited >= SURVEY_GRACE:
+            case TakeoverPhase.SURVEY if elapsed >= SURVEY_GRACE_PERIOD:
                 return self._try_leave_survey(now)
-            case TakeoverPhase.WAIT if self._proofs_are_over(now):
+            case TakeoverPhase.WAIT if self._have_proofs_expired(now):
                 return self._verify(now)
-            case TakeoverPhase.VERIFY if waited >= SURVEY_PATIENCE:
+            case TakeoverPhase.VERIFY if elapsed >= SURVEY_TIMEOUT:
                 return self._leave_verify(now)
             case TakeoverPhase.VERIFY:
                 return self._try_leave_verify(now)
-            case TakeoverPhase.CONFIRM if waited >= CONFIRM_PATIENCE:
+            case TakeoverPhase.CONFIRM if elapsed >= CONFIRM_TIMEOUT:
                 return self._survey_again(now)
             case TakeoverPhase.CONFIRM if (
                 now - self._sent_at >= CONFIRM_INTERVAL
             ):
                 return self._ask([self.candidate], now)
-        if now - self._sent_at >= RESEND:
-            return self._send_again(now)
+        if now - self._sent_at >= RESEND_INTERVAL:
+            return self._resend(now)
         return []
 
-    def _send_again(self, now: float) -> list[Action]:
+    def _resend(self, now: float) -> list[Action]:
         self._sent_at = now
         match self.phase:
             case (
@@ -320,45 +327,48 @@
         if self.reports.keys() >= set(self.targets):
             return self._leave_survey(now)
         missing = set(self.targets) - self.reports.keys()
-        if now - self._phase_at >= SURVEY_GRACE:
+        if now - self._phase_at >= SURVEY_GRACE_PERIOD:
             if missing <= {self.record.primary} and not self.cause.is_planned:
                 return self._leave_survey(now)
         return []
 
     def _leave_survey(self, now: float) -> list[Action]:
-        heard = self._heard()
-        done = self._already_promoted(heard)
-        if done is not None and self.record.change is not None:
-            self.candidate = done
-            return self._confirmed(heard[done], now)
-        if self._primary_works(heard):
+        reports = self._received_reports()
+        promoted = self._already_promoted(reports)
+        if promoted is not None and self.record.change is not None:
+            self.candidate = promoted
+            return self._on_confirm_report(reports[promoted], now)
+        if self._primary_works(reports):
             self._give_up("the primary works", now)
             return []
-        self.candidate = self._best(heard)
+        self.candidate = self._best_candidate(reports)
         if not self.candidate:
             self._give_up("no other target can be reached", now)
             return []
-        known = [report.newest_term for report in heard.values()]
-        self.term = max([self.record.term, *known]) + 1
+        terms = [report.newest_term for report in reports.values()]
+        self.term = max([self.record.term, *terms]) + 1
         self._enter(TakeoverPhase.INTEND, now)
         return self._store(now)
 
-    def _primary_works(self, heard: dict[str, TargetReport]) -> bool:
+    def _primary_works(self, reports: dict[str, TargetReport]) -> bool:
         if self.cause.is_planned or self.record.change is not None:
             return False
         if self.cause is TakeoverCause.GONE:
             return False
-        report = heard.get(self.record.primary)
+        report = reports.get(self.record.primary)
         return report is not None and report.is_primary
 
-    def _already_promoted(self, heard: dict[str, TargetReport]) -> str | None:
-        """Return a target that leads by an earlier attempt at this change.
+    def _already_promoted(
+        self, reports: dict[str, TargetReport]
+    ) -> str | None:
+        """Return a target that an earlier attempt at this change promoted.
 
-        Of an unsettled group it may be any earlier primary that leads.
+        In an unsettled group a target that reports itself as primary may be
+        any earlier primary, so none is returned.
         """
         if self.cause is TakeoverCause.UNSETTLED:
             return None
-        for name, report in heard.items():
+        for name, report in reports.items():
             if report.is_primary and report.term > self.record.term:
                 return name
         return None
@@ -370,11 +380,11 @@
             return []
         self._storing = True
         self._sent_at = now
-        return [StoreRecord(record=self._wanted())]
+        return [StoreRecord(record=self._next_record())]
 
-    def _wanted(self) -> PrimaryRecord:
-        """Return the record that this phase is to store."""
-        old = self.record
+    def _next_record(self) -> PrimaryRecord:
+        """Return the record that the current phase stores."""
+        current = self.record
         if self.phase in (TakeoverPhase.INTEND, TakeoverPhase.NAME):
             change = PendingChange(
                 term=self.term,
@@ -384,58 +394,63 @@
                 candidate=self.candidate,
             )
             return PrimaryRecord(
-                group=old.group,
-                version=old.version,
-                term=old.term,
-                primary=old.primary,
+                group=current.group,
+                version=current.version,
+                term=current.term,
+                primary=current.primary,
                 change=change,
-                era=old.era,
+                era=current.era,
             )
         return PrimaryRecord(
-            group=old.group,
-            version=old.version,
+            group=current.group,
+            version=current.version,
             term=self.term,
             primary=self.candidate,
-            era=old.era,
+            era=current.era,
         )
 
-    def _is_wanted(self, record: PrimaryRecord) -> bool:
-        wanted = self._wanted()
+    def _is_next_record(self, record: PrimaryRecord) -> bool:
+        expected = self._next_record()
         return (record.term, record.primary, record.change) == (
-            wanted.term,
-            wanted.primary,
-            wanted.change,
+            expected.term,
+            expected.primary,
+            expected.change,
         )
 
     def _hold(self, now: float) -> list[Action]:
-        """Have a replica hold the term, not the candidate if it can be."""
-        heard = self._heard()
-        replicas = [name for name in heard if self._may_hold(name)]
+        """Have a replica hold the term, preferably not the candidate."""
+        reports = self._received_reports()
+        replicas = [name for name in reports if self._can_hold_term(name)]
         others = [name for name in replicas if name != self.candidate]
-        if self.holder in others and self.phase is TakeoverPhase.HOLD:
-            # It did not answer: try the next one, the candidate last.
-            others.remove(self.holder)
-        self.holder = (others or [self.candidate])[0]
+        if self.term_holder in others and self.phase is TakeoverPhase.HOLD:
+            # The last one did not answer. The candidate is tried last.
+            others.remove(self.term_holder)
+        self.term_holder = (others or [self.candidate])[0]
         self._enter(TakeoverPhase.HOLD, now)
         order = HoldTerm(term=self.term)
-        return [TellTarget(target=self.holder, order=order)]
+        return [SendToTarget(target=self.term_holder, order=order)]
 
-    def _may_hold(self, name: str) -> bool:
+    def _can_hold_term(self, name: str) -> bool:
         return name != self.record.primary and name not in self._refused
 
-    def _held(self, report: TargetReport | None, now: float) -> list[Action]:
+    def _on_hold_report(
+        self, report: TargetReport | None, now: float
+    ) -> list[Action]:
         if report is None:
             return []
         if max(report.held_term, report.term) < self.term:
             if report.newest_term >= self.term:
                 self.term = report.newest_term + 1
             return []
-        self._closed_at = max(self._closed_at, now)
+        self._proofs_blocked_at = max(self._proofs_blocked_at, now)
         self._enter(TakeoverPhase.WAIT, now)
         return self.tick(now)
 
-    def _proofs_are_over(self, now: float) -> bool:
-        return self.released or now >= self._closed_at + PROMOTION_WAIT
+    def _have_proofs_expired(self, now: float) -> bool:
+        return (
+            self.proofs_released
+            or now >= self._proofs_blocked_at + PROMOTION_WAIT
+        )
 
     # Verify, promote, confirm.
 
@@ -445,74 +460,76 @@
         return self._ask(self.targets, now)
 
     def _try_leave_verify(self, now: float) -> list[Action]:
-        heard = self._heard()
+        reports = self._received_reports()
         missing = set(self.targets) - self.reports.keys()
-        if missing and now - self._phase_at < SURVEY_GRACE:
+        if missing and now - self._phase_at < SURVEY_GRACE_PERIOD:
             return []
-        if self.holder in missing or not heard:
+        if self.term_holder in missing or not reports:
             return []
-        old = heard.get(self.record.primary)
-        best = self._best(heard)
+        old = reports.get(self.record.primary)
+        best = self._best_candidate(reports)
         if old is not None and best and self.cause.is_planned:
-            behind = _log_end(heard[best]) < _log_end(old)
-            if behind and now - self._phase_at < CATCH_UP:
+            behind = _log_position(reports[best]) < _log_position(old)
+            if behind and now - self._phase_at < CATCH_UP_TIMEOUT:
                 if now - self._sent_at >= CONFIRM_INTERVAL:
                     return self._ask(self.targets, now)
                 return []
         return self._leave_verify(now)
 
     def _leave_verify(self, now: float) -> list[Action]:
-        heard = self._heard()
-        holds = heard.get(self.holder)
-        if not self.released and (
-            holds is None or holds.newest_term < self.term
+        reports = self._received_reports()
+        holder_report = reports.get(self.term_holder)
+        if not self.proofs_released and (
+            holder_report is None or holder_report.newest_term < self.term
         ):
-            # It may have started anew and forgotten the term, and proofs
-            # been given since; the wait begins again. Where every VM has let
-            # go of the primary there is nobody whom the term has to stop.
+            # The holder may have restarted and lost the term, and VMs may
+            # have taken proofs since, so the wait starts again. This is not
+            # needed once every VM has released its proof.
             return self._hold(now)
-        best = self._best(heard)
-        if not best:
+        candidate = self._best_candidate(reports)
+        if not candidate:
             return self._survey_again(now)
-        self.candidate = best
-        if self.released:
+        self.candidate = candidate
+        if self.proofs_released:
             return self._promote(now)
-        # The one that holds the term may start anew before the candidate
-        # leads, and forget it. With another one holding it too, both would
-        # have to in the same second.
-        self.second = best
-        if best == self.holder:
-            self.second = self._other_replica(heard)
-        if not self.second:
-            return self._without_second(now)
+        # The holder may restart and lose the term before the candidate is
+        # primary. With a second holder, proofs become possible only if both
+        # restart within the same second.
+        self.second_holder = candidate
+        if candidate == self.term_holder:
+            self.second_holder = self._other_replica(reports)
+        if not self.second_holder:
+            return self._retry_without_second(now)
         self._enter(TakeoverPhase.SEAL, now)
         order = HoldTerm(term=self.term)
-        return [TellTarget(target=self.second, order=order)]
+        return [SendToTarget(target=self.second_holder, order=order)]
 
-    def _other_replica(self, heard: dict[str, TargetReport]) -> str:
-        away = (self.holder, self.record.primary)
-        return next((name for name in heard if name not in away), "")
+    def _other_replica(self, reports: dict[str, TargetReport]) -> str:
+        excluded = (self.term_holder, self.record.primary)
+        return next((name for name in reports if name not in excluded), "")
 
-    def _without_second(self, now: float) -> list[Action]:
-        """Look for a second target some times before going on without."""
-        self._lone_tries += 1
-        if self._lone_tries < MOST_LONE_TRIES:
+    def _retry_without_second(self, now: float) -> list[Action]:
+        """Verify again a few times, then promote without a second holder."""
+        self._second_holder_tries += 1
+        if self._second_holder_tries < MAX_SECOND_HOLDER_TRIES:
             return self._verify(now)
         return self._promote(now)
 
-    def _sealed(self, report: TargetReport | None, now: float) -> list[Action]:
+    def _on_seal_report(
+        self, report: TargetReport | None, now: float
+    ) -> list[Action]:
         if report is None:
-            if self.second == self.candidate:
+            if self.second_holder == self.candidate:
                 self._refused.add(self.candidate)
             return self._verify(now)
         if report.newest_term < self.term:
             return []
-        # Asked only now: if it still holds the term it has done so all the
-        # while, and from now on the candidate does.
+        # Asked after the second holder has confirmed: if the first one still
+        # holds the term now, there was no moment without a holder.
         self._enter(TakeoverPhase.CHECK, now)
-        return self._ask([self.holder], now)
+        return self._ask([self.term_holder], now)
 
-    def _checked(
+    def _on_check_report(
         self, report: TargetReport | None, now: float
     ) -> list[Action]:
         if report is None or report.newest_term < self.term:
@@ -520,23 +537,24 @@
         return self._promote(now)
 
     def _promote(self, now: float) -> list[Action]:
-        """Order the promotion, of a target that the record names.
+        """Order the promotion of the candidate named in the record.
 
-        Any VM may record the end of a change once the target named leads. If
-        another one were ordered under the same record, the first could still
-        be found leading, be recorded, and be used beside the second.
+        Any VM may record the end of a change once that candidate is primary.
+        If another target were ordered under the same record, the first one
+        could still become primary, be recorded, and be used in parallel with
+        the second.
         """
         change = self.record.change
         if change is not None and change.candidate == self.candidate:
-            return self._order(now)
+            return self._order_promotion(now)
         self._enter(TakeoverPhase.NAME, now)
         return self._store(now)
 
-    def _order(self, now: float) -> list[Action]:
+    def _order_promotion(self, now: float) -> list[Action]:
         self._enter(TakeoverPhase.PROMOTE, now)
         return [OrderPromotion(target=self.candidate)]
 
-    def _confirmed(
+    def _on_confirm_report(
         self, report: TargetReport | None, now: float
     ) -> list[Action]:
         if report is None:
@@ -548,45 +566,48 @@
         self._enter(TakeoverPhase.RECORD, now)
         return self._store(now)
 
-    # Small things.
+    # Helpers.
 
-    def _heard(self) -> dict[str, TargetReport]:
+    def _received_reports(self) -> dict[str, TargetReport]:
         return {
             name: report
             for name, report in self.reports.items()
             if report is not None
         }
 
-    def _best(self, heard: dict[str, TargetReport]) -> str:
-        """Return the most advanced target that may be promoted, or empty."""
-        fit = [
+    def _best_candidate(self, reports: dict[str, TargetReport]) -> str:
+        """Return the most advanced eligible target, or an empty string."""
+        eligible = [
             name
-            for name in heard
+            for name in reports
             if name != self.record.primary
-            and name not in self.unfit
+            and name not in self.ineligible
             and name not in self._refused
         ]
-        # The one that holds the term has stopped receiving: of equals the
-        # other one is taken.
+        # The target that holds the term has stopped receiving, so it loses
+        # against one with an equal log position.
         return max(
-            fit,
-            key=lambda name: (_log_end(heard[name]), name != self.holder),
+            eligible,
+            key=lambda name: (
+                _log_position(reports[name]),
+                name != self.term_holder,
+            ),
             default="",
         )
 
     def _ask(self, targets: Collection[str], now: float) -> list[Action]:
         self._sent_at = now
-        return [TellTarget(target=t, order=AskReport()) for t in targets]
+        return [SendToTarget(target=t, order=AskReport()) for t in targets]
 
     def _enter(self, phase: TakeoverPhase, now: float) -> None:
         self.phase = phase
         self._phase_at = now
         self._sent_at = now
 
-    def _give_up(self, why: str, now: float) -> None:
-        self.end = why
+    def _give_up(self, reason: str, now: float) -> None:
+        self.end_reason = reason
         self._enter(TakeoverPhase.GIVEN_UP, now)
 
 
-def _log_end(report: TargetReport) -> tuple[int, int]:
+def _log_position(report: TargetReport) -> tuple[int, int]:
     return report.received_term, report.received_index
--- a/bamboospring/sessions/takeover_runner.py
+++ b/bamboospring/sessions/takeover_runner.py
@@ -1,4 +1,4 @@
-"""Carry changes of primary out: at targets, the store and who promotes."""
+"""Run changes of primary: requests to targets, the store and the platform."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from bamboospring.object_store import Unavailable
 from bamboospring.platform_client import PlatformClient
 from bamboospring.reactor import Reactor
+from bamboospring.sessions.group_records import decode_record
 from bamboospring.sessions.group_records import encode_record
-from bamboospring.sessions.group_records import read_record
 from bamboospring.sessions.group_records import RECORD_KIND
 from bamboospring.sessions.leader_lease import LeaderLease
 from bamboospring.sessions.model import PrimaryRecord
@@ -32,31 +32,31 @@
 from bamboospring.sessions.takeover import Action
 from bamboospring.sessions.takeover import OrderPromotion
 from bamboospring.sessions.takeover import ReadRecord
+from bamboospring.sessions.takeover import SendToTarget
 from bamboospring.sessions.takeover import StoreRecord
 from bamboospring.sessions.takeover import Takeover
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.takeover import TakeoverPhase
-from bamboospring.sessions.takeover import TellTarget
 from bamboospring.sessions.target_control import ControlOrder
 from bamboospring.sessions.target_control import NoReport
 from bamboospring.sessions.target_control import TargetControl
 from bamboospring.store_version import version_text
 
-__all__ = ["TakeoverRunner", "TELL_TIMEOUT"]
+__all__ = ["TakeoverRunner", "REPORT_TIMEOUT"]
 
-TELL_TIMEOUT = 0.5
+REPORT_TIMEOUT = 0.5
 PROMOTE_TIMEOUT = 0.6
 STORE_TIMEOUT = 1.0
-# An old primary that can't be reached is told to step down for this long, in
-# seconds; after that it learns from the new one.
-STEP_DOWN_PATIENCE = 20.0
+# Seconds during which targets that can't be reached are asked again after a
+# change. After that an old primary learns of the change from the new one.
+STEP_DOWN_PERIOD = 20.0
 STEP_DOWN_INTERVAL = 0.5
 
 
 class TakeoverRunner:
-    """The changes of primary that this VM leads, one a group at most.
+    """Runs the changes of primary that this VM leads, at most one per group.
 
-    `on_ended` is called with each group whose change is over.
+    `on_ended` is called with each group whose change has ended.
     """
 
     def __init__(
@@ -79,40 +79,40 @@
         self._records = records
         self._releases = releases
         self._orders = orders
-        self._duty = lease
+        self._lease = lease
         self._on_ended = on_ended
-        self._changes: dict[str, Takeover] = {}
+        self._takeovers: dict[str, Takeover] = {}
 
     def tick(self, group: SessionGroup) -> bool:
-        """Go on with a group's change; False if there is none."""
-        change = self._changes.get(group.name)
-        if change is None:
+        """Advance a group's change; return False if there is none."""
+        takeover = self._takeovers.get(group.name)
+        if takeover is None:
             return False
-        self._go_on(group, change, change.tick(self._reactor.now()))
+        self._advance(group, takeover, takeover.tick(self._reactor.now()))
         return True
 
     def drop_all(self) -> None:
-        """Forget all changes: another VM leads, and takes them up."""
-        self._changes.clear()
+        """Drop all changes; the next leader takes them up."""
+        self._takeovers.clear()
 
-    def put_all_right(self) -> None:
-        """Have all groups follow their primary, as one who begins to lead.
+    def reconcile_all(self) -> None:
+        """Reconcile all groups when this VM becomes the leader.
 
-        The VM that led before may have gone right after a change was recorded.
-        Its group's old primary would go on answering, and a replica that holds
-        a term would receive nothing, until somebody tells them.
+        The previous leader may have failed right after it recorded a change.
+        Without this the old primary of that group keeps answering, and a
+        replica that holds a term receives nothing.
         """
         for group in self._board.groups.values():
-            self.put_right(group)
+            self.reconcile(group)
 
-    def put_right(self, group: SessionGroup) -> None:
-        """Have a group follow its primary, if it is agreed who that is."""
+    def reconcile(self, group: SessionGroup) -> None:
+        """Have the other targets follow the primary, if it is settled."""
         record = group.record
         if record is None or record.change is not None:
             return
         if group.unsettled is None:
-            until = self._reactor.now() + STEP_DOWN_PATIENCE
-            self._put_right(group, record, until)
+            until = self._reactor.now() + STEP_DOWN_PERIOD
+            self._reconcile_targets(group, record, until)
 
     def begin(
         self,
@@ -121,17 +121,19 @@
         cause: TakeoverCause,
         now: float,
     ) -> None:
-        """Begin to replace a group's primary."""
-        leaving = [n for n, news in group.targets.items() if news.leaving]
-        change = Takeover(
+        """Start a change of a group's primary."""
+        leaving_targets = [
+            n for n, listed in group.targets.items() if listed.leaving
+        ]
+        takeover = Takeover(
             vm=self._board.vm,
             nonce=secrets.token_hex(8),
             cause=cause,
             record=record,
             targets=tuple(group.targets),
-            unfit=tuple(leaving),
+            ineligible=tuple(leaving_targets),
         )
-        self._changes[group.name] = change
+        self._takeovers[group.name] = takeover
         logs.log_event(
             "change_begun",
             group=group.name,
@@ -141,49 +143,51 @@
             version=version_text(record.version),
             targets=len(group.targets),
         )
-        self._go_on(group, change, change.begin(now))
+        self._advance(group, takeover, takeover.begin(now))
 
-    def _go_on(
-        self, group: SessionGroup, change: Takeover, actions: list[Action]
+    def _advance(
+        self, group: SessionGroup, takeover: Takeover, actions: list[Action]
     ) -> None:
         for action in actions:
-            self._carry_out(group, change, action)
-        if change.over and self._changes.get(group.name) is change:
-            self._ended(group, change)
+            self._execute(group, takeover, action)
+        if takeover.is_over and self._takeovers.get(group.name) is takeover:
+            self._finish(group, takeover)
 
-    def _carry_out(
-        self, group: SessionGroup, change: Takeover, action: Action
+    def _execute(
+        self, group: SessionGroup, takeover: Takeover, action: Action
     ) -> None:
-        if not self._duty.is_held:
+        if not self._lease.is_held:
             return
         match action:
-            case TellTarget(target=target, order=order):
-                self._tell(group, change, target, order)
+            case SendToTarget(target=target, order=order):
+                self._send(group, takeover, target, order)
             case StoreRecord(record=record):
-                self._store(group, change, record)
+                self._store(group, takeover, record)
             case ReadRecord():
-                self._read(group, change)
+                self._read(group, takeover)
             case OrderPromotion(target=target):
-                self._promote(group, change, target)
+                self._promote(group, takeover, target)
 
-    def _tell(
+    def _send(
         self,
         group: SessionGroup,
-        change: Takeover,
+        takeover: Takeover,
         target: str,
         order: ControlOrder,
     ) -> None:
-        def heard(result: TargetReport | NoReport) -> None:
+        def on_report(result: TargetReport | NoReport) -> None:
             if isinstance(result, NoReport) and not result.refused:
                 return
             report = result if isinstance(result, TargetReport) else None
             now = self._reactor.now()
-            self._go_on(group, change, change.replied(target, report, now))
+            self._advance(
+                group, takeover, takeover.on_report(target, report, now)
+            )
 
-        self._questions.ask(group, target, order, TELL_TIMEOUT, heard)
+        self._questions.ask(group, target, order, REPORT_TIMEOUT, on_report)
 
     def _store(
-        self, group: SessionGroup, change: Takeover, record: PrimaryRecord
+        self, group: SessionGroup, takeover: Takeover, record: PrimaryRecord
     ) -> None:
         def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
@@ -191,8 +195,8 @@
             now = self._reactor.now()
             match result:
                 case Stored(version=version):
-                    actions = change.stored(version, now)
-                    self._published(group, change)
+                    actions = takeover.on_stored(version, now)
+                    self._on_record_stored(group, takeover)
                 case Conflict(version=version, value=value):
                     found = Found(
                         kind=RECORD_KIND,
@@ -200,10 +204,10 @@
                         version=version,
                         value=value,
                     )
-                    actions = self._read_back(change, found)
+                    actions = self._read_back(takeover, found)
                 case _:
-                    actions = change.store_unsure(now)
-            self._go_on(group, change, actions)
+                    actions = takeover.on_store_unanswered(now)
+            self._advance(group, takeover, actions)
 
         self._platform.put(
             RECORD_KIND,
@@ -215,26 +219,35 @@
             timeout=STORE_TIMEOUT,
         )
 
-    def _published(self, group: SessionGroup, change: Takeover) -> None:
-        """Act on a record that the store has just taken."""
-        record = change.record
+    def _on_record_stored(
+        self, group: SessionGroup, takeover: Takeover
+    ) -> None:
+        """Publish a record that was just stored."""
+        record = takeover.record
         self._records.apply(record)
         if record.change is None:
             self._records.request_read(group.name)
-            self._releases.tell_all(record)
+            self._releases.announce_record(record)
             return
 
-        def released() -> None:
+        def on_released() -> None:
             now = self._reactor.now()
-            if change.record.version == record.version and not change.over:
-                self._go_on(group, change, change.all_released(now))
+            if (
+                takeover.record.version == record.version
+                and not takeover.is_over
+            ):
+                self._advance(
+                    group, takeover, takeover.on_proofs_released(now)
+                )
 
-        self._releases.ask_all(record, released)
+        self._releases.request_release(record, on_released)
 
-    def _read(self, group: SessionGroup, change: Takeover) -> None:
+    def _read(self, group: SessionGroup, takeover: Takeover) -> None:
         def on_result(result: Found | Missing | Unavailable) -> None:
             if isinstance(result, Found):
-                self._go_on(group, change, self._read_back(change, result))
+                self._advance(
+                    group, takeover, self._read_back(takeover, result)
+                )
 
         self._platform.get(
             RECORD_KIND,
@@ -244,118 +257,130 @@
             timeout=STORE_TIMEOUT,
         )
 
-    def _read_back(self, change: Takeover, found: Found) -> list[Action]:
-        record = read_record(found)
+    def _read_back(self, takeover: Takeover, found: Found) -> list[Action]:
+        record = decode_record(found)
         if record is None:
             return []
         self._records.apply(record)
-        before = change.record.version
-        actions = change.read(record, self._reactor.now())
-        if change.record.version != before:
-            self._published(self._board.group(record.group), change)
+        before = takeover.record.version
+        actions = takeover.on_record_read(record, self._reactor.now())
+        if takeover.record.version != before:
+            self._on_record_stored(self._board.group(record.group), takeover)
         return actions
 
     def _promote(
-        self, group: SessionGroup, change: Takeover, target: str
+        self, group: SessionGroup, takeover: Takeover, target: str
     ) -> None:
         sent_at = self._reactor.now()
-        if not self._duty.holds_until(sent_at + PROMOTE_TIMEOUT):
-            # An order that is under way when the lease ends could arrive
-            # after one of the next holder, and the target that was ordered
-            # first would lead last.
-            self._go_on(
+        if not self._lease.is_held_until(sent_at + PROMOTE_TIMEOUT):
+            # An order still in flight when the lease expires could arrive
+            # after an order of the next holder. The target ordered first
+            # would then be promoted last.
+            self._advance(
                 group,
-                change,
-                change.ordered(PromotionResult.NOT_SENT, sent_at),
+                takeover,
+                takeover.on_promotion_result(
+                    PromotionResult.NOT_SENT, sent_at
+                ),
             )
             return
 
-        def on_done(result: PromotionResult) -> None:
+        def on_complete(result: PromotionResult) -> None:
             now = self._reactor.now()
             logs.log_event(
                 "promotion_ordered",
                 group=group.name,
                 target=target,
-                fence=self._duty.fence,
+                fence=self._lease.fence,
                 result=result.value,
                 took_ms=round((now - sent_at) * 1000),
             )
-            self._go_on(group, change, change.ordered(result, now))
+            self._advance(
+                group, takeover, takeover.on_promotion_result(result, now)
+            )
 
         self._orders.promote(
             group=group.name,
             target=target,
             holder=self._board.vm,
-            fence=self._duty.fence,
+            fence=self._lease.fence,
             timeout=PROMOTE_TIMEOUT,
-            on_complete=on_done,
+            on_complete=on_complete,
         )
 
-    def _ended(self, group: SessionGroup, change: Takeover) -> None:
-        del self._changes[group.name]
+    def _finish(self, group: SessionGroup, takeover: Takeover) -> None:
+        del self._takeovers[group.name]
         now = self._reactor.now()
-        done = change.phase is TakeoverPhase.DONE
+        succeeded = takeover.phase is TakeoverPhase.DONE
         logs.log_event(
             "change_ended",
-            level=logs.Level.INFO if done else logs.Level.WARNING,
+            level=logs.Level.INFO if succeeded else logs.Level.WARNING,
             group=group.name,
-            outcome=change.phase.value,
-            reason=change.end,
-            primary=change.record.primary,
-            term=change.record.term,
-            version=version_text(change.record.version),
+            outcome=takeover.phase.value,
+            reason=takeover.end_reason,
+            primary=takeover.record.primary,
+            term=takeover.record.term,
+            version=version_text(takeover.record.version),
         )
         self._on_ended(group)
-        if done:
-            self._put_right(group, change.record, now + STEP_DOWN_PATIENCE)
+        if succeeded:
+            self._reconcile_targets(
+                group, takeover.record, now + STEP_DOWN_PERIOD
+            )
 
-    def _put_right(
+    def _reconcile_targets(
         self, group: SessionGroup, record: PrimaryRecord, until: float
     ) -> None:
-        """Have the others follow the new primary, for as long as it takes.
+        """Have the other targets follow the primary; retry until `until`.
 
-        A former primary goes on answering whoever reaches it, and a replica
-        that holds a term takes nothing, until they are told.
+        Until they get an order a former primary keeps answering, and a replica
+        that holds a term receives nothing.
         """
         for name in group.targets:
             if name != record.primary:
-                self._put_one_right(group, record, name, until)
+                self._reconcile_target(group, record, name, until)
 
-    def _put_one_right(
+    def _reconcile_target(
         self,
         group: SessionGroup,
         record: PrimaryRecord,
-        name: str,
+        target: str,
         until: float,
     ) -> None:
-        def again() -> None:
+        def retry() -> None:
             now = self._reactor.now()
-            if group.record != record or now > until or not self._duty.is_held:
+            if (
+                group.record != record
+                or now > until
+                or not self._lease.is_held
+            ):
                 return
-            self._put_one_right(group, record, name, until)
+            self._reconcile_target(group, record, target, until)
 
-        def heard(result: TargetReport | NoReport) -> None:
+        def on_report(result: TargetReport | NoReport) -> None:
             if isinstance(result, NoReport):
-                self._reactor.call_later(STEP_DOWN_INTERVAL, again)
+                self._reactor.call_later(STEP_DOWN_INTERVAL, retry)
                 return
             if result.is_primary and result.term < record.term:
-                self._tell_once(group, name, StepDown(term=record.term))
-                self._reactor.call_later(STEP_DOWN_INTERVAL, again)
+                self._send_order(group, target, StepDown(term=record.term))
+                self._reactor.call_later(STEP_DOWN_INTERVAL, retry)
             elif result.held_term:
-                self._tell_once(group, name, ResumeReceiving())
+                self._send_order(group, target, ResumeReceiving())
 
-        self._questions.ask(group, name, AskReport(), TELL_TIMEOUT, heard)
+        self._questions.ask(
+            group, target, AskReport(), REPORT_TIMEOUT, on_report
+        )
 
-    def _tell_once(
-        self, group: SessionGroup, name: str, order: ControlOrder
+    def _send_order(
+        self, group: SessionGroup, target: str, order: ControlOrder
     ) -> None:
-        def heard(result: TargetReport | NoReport) -> None:
+        def on_report(result: TargetReport | NoReport) -> None:
             logs.log_event(
                 "target_told",
                 group=group.name,
-                target=name,
+                target=target,
                 order=type(order).__name__,
                 heard=isinstance(result, TargetReport),
             )
 
-        self._questions.ask(group, name, order, TELL_TIMEOUT, heard)
+        self._questions.ask(group, target, order, REPORT_TIMEOUT, on_report)
--- a/bamboospring/sessions/target_keeper.py
+++ b/bamboospring/sessions/target_keeper.py
@@ -1,4 +1,4 @@
-"""Keep the list of targets, and this VM's bounds on connections to them."""
+"""Keep the list of targets, and this VM's connection limits for them."""
 
 from __future__ import annotations
 
@@ -21,49 +21,52 @@
 from bamboospring.sessions.zone_holders import ZoneHolders
 from bamboospring.shares import TargetCapacity
 
-__all__ = ["TargetKeeper", "idle_time"]
-
-# Seconds between two looks at the list. A leaving target may get work for 7 s
-# and is not chosen after this much of them.
-INTERVAL = 1.5
-TIMEOUT = 1.0
-# A leaving primary is used for this part of its time: the word that it
-# leaves is up to two looks old when it is read.
-LEAVING_PART = 0.55
-# An entry that is missing is kept this long, in seconds: after an outage of
-# the platform entries of live targets are back within two.
-GONE_AFTER = 2.2
-# One VM may use so many times its fair part of a target's connections. They
-# are opened when they are needed and closed when they rest; the target itself
-# refuses what goes beyond its limit.
-SHARE_TIMES = 2.0
-# A connection may rest for so many seconds for each that a VM has by fair
-# parts, within these bounds: where VMs are more than connections, those that
-# rest are the ones that others wait for.
-IDLE_FOR_EACH = 0.4
-SHORTEST_IDLE = 0.25
-LONGEST_IDLE = 1.5
-# Of a VM's fair part of the connections this part may rest for as long, one
-# at least. A target counts those of VMs that have lost power for seconds: were
-# all places taken by what rests, VMs that come back would find none.
-KEPT_PART = 0.5
-# The holder of a zone's reads may use this part of a target's connections.
-# Each is a team's own, and one that rests saves its team's next read the
-# opening. Where a target has no place left its holders use fewer.
-HOLDER_PART = 0.3
-HOLDER_IDLE = 6.0
-
-
-def idle_time(fair: float) -> float:
-    """Return how long a connection may rest, by a VM's fair part of them."""
-    return min(LONGEST_IDLE, max(SHORTEST_IDLE, IDLE_FOR_EACH * fair))
+__all__ = ["TargetKeeper", "idle_timeout"]
+
+# Seconds between two reads of the list. A leaving target may get work for 7 s
+# and is no longer chosen after the part LEAVING_FRACTION of them.
+LIST_INTERVAL = 1.5
+LIST_TIMEOUT = 1.0
+# A leaving primary is used for this fraction of the allowed time: when its
+# entry is read, the change to leaving may be up to two intervals old.
+LEAVING_FRACTION = 0.55
+# Seconds for which a target is kept although its entry is missing. After an
+# outage of the platform entries of live targets are back within two seconds.
+REMOVE_AFTER = 2.2
+# A VM may use this multiple of its fair share of a target's connections. They
+# are opened on demand and closed when idle, and the target itself refuses
+# connections beyond its limit.
+MAX_SHARE_FACTOR = 2.0
+# Idle timeout in seconds per connection of a VM's fair share, with its bounds.
+# If there are more VMs than connections, other VMs wait for the idle ones.
+IDLE_SECONDS_PER_CONNECTION = 0.4
+MIN_IDLE_TIMEOUT = 0.25
+MAX_IDLE_TIMEOUT = 1.5
+# This fraction of a VM's fair share, at least one connection, may stay idle
+# for the full timeout. A target still counts the connections of VMs that have
+# lost power for seconds; if idle connections took all other places, VMs that
+# come back would find none.
+KEPT_IDLE_FRACTION = 0.5
+# The holder of a zone's reads may use this fraction of a target's connections.
+# Each connection belongs to one team, and an idle one saves that team's next
+# read from opening another. Holders use fewer if the target has none left.
+HOLDER_CONNECTION_FRACTION = 0.3
+HOLDER_IDLE_TIMEOUT = 6.0
+
+
+def idle_timeout(fair_share: float) -> float:
+    """Return the idle timeout for a VM's fair share of connections."""
+    return min(
+        MAX_IDLE_TIMEOUT,
+        max(MIN_IDLE_TIMEOUT, IDLE_SECONDS_PER_CONNECTION * fair_share),
+    )
 
 
 class TargetKeeper:
-    """Reads the list of targets at an interval.
+    """Reads the list of targets periodically.
 
-    `read` turns an entry into news, None if it names nothing to use.
-    `leaving_limit` is the time after which a leaving target may get no work.
+    `decode_target` returns None for an entry that names no usable target.
+    `leaving_timeout` is the time after which a leaving target gets no work.
     """
 
     def __init__(
@@ -78,145 +81,155 @@
         leaving_timeout: float,
         zone_holders: ZoneHolders,
     ) -> None:
-        self._holders = zone_holders
-        self._leaving_limit = leaving_timeout * LEAVING_PART
+        self._zone_holders = zone_holders
+        self._leaving_usable_time = leaving_timeout * LEAVING_FRACTION
         self._reactor = reactor
         self._board = board
         self._platform = platform
         self._pools = pools
         self._kind = kind
-        self._read = decode_target
+        self._decode_target = decode_target
         self._missing: dict[str, float] = {}
         self._asked_at = 0.0
         self._relayed_until = -1e9
-        self._busy = False
+        self._is_reading = False
         self._timer: Timer | None = None
         self.listed: list[ListedTarget] = []
 
     def start(self) -> None:
-        """Look at the list now and from then on."""
-        self._ask()
+        """Start to read the list periodically."""
+        self._read_list()
 
     def apply_connection_limits(self) -> None:
-        """Give each target its bound by the catalog in force."""
+        """Apply the connection limits of the current catalog."""
         for group in self._board.groups.values():
-            for news in group.targets.values():
-                self._bound(news)
+            for listed in group.targets.values():
+                self._apply_connection_limit(listed)
 
     def missing_since(self, name: str) -> float | None:
-        """Return since when a target's entry is missing, None if it is not."""
+        """Return since when a target's entry is missing, or None."""
         return self._missing.get(name)
 
     def apply_relayed(
         self, listed: list[ListedTarget] | None, asked_at: float, until: float
     ) -> None:
-        """Take the list that the leader has read; None: as we have it."""
+        """Apply the list that the leader has read.
+
+        `listed` is None if it is the same as here. Periodic reads of the list
+        pause until `until`.
+        """
         self._relayed_until = until
         if listed is not None:
             self.listed = listed
-        self._take(self.listed, asked_at)
+        self._apply_list(self.listed, asked_at)
 
     def read_directly(self) -> None:
-        """Read the list again: nobody passes it on."""
+        """Resume reading the list when no VM passes it on."""
         self._relayed_until = -1e9
-        if not self._busy:
-            self._ask()
+        if not self._is_reading:
+            self._read_list()
 
-    def _later(self, wait: float) -> None:
+    def _schedule_read(self, delay: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._reactor.call_later(wait, self._ask)
+        self._timer = self._reactor.call_later(delay, self._read_list)
 
-    def _ask(self) -> None:
-        if self._busy:
+    def _read_list(self) -> None:
+        if self._is_reading:
             return
         if self._reactor.now() < self._relayed_until:
-            self._later(INTERVAL)
+            self._schedule_read(LIST_INTERVAL)
             return
-        self._busy = True
+        self._is_reading = True
         self._asked_at = self._reactor.now()
         self._platform.list(
-            self._kind, "targets", self._answered, timeout=TIMEOUT
+            self._kind, "targets", self._on_list, timeout=LIST_TIMEOUT
         )
 
-    def _answered(self, result: Changes | Unavailable) -> None:
-        self._busy = False
-        # Armed first: a fault in one round must not end all that follow.
-        self._later(INTERVAL)
+    def _on_list(self, result: Changes | Unavailable) -> None:
+        self._is_reading = False
+        # Scheduled first: an exception must not stop all later rounds.
+        self._schedule_read(LIST_INTERVAL)
         match result:
             case Changes(objects=objects):
-                read = [self._read(found) for found in objects]
+                targets = [self._decode_target(found) for found in objects]
                 self.listed = [
-                    self._still_leaving(news)
-                    for news in read
-                    if news is not None
+                    self._keep_leaving(entry)
+                    for entry in targets
+                    if entry is not None
                 ]
-                self._take(self.listed, self._asked_at)
+                self._apply_list(self.listed, self._asked_at)
             case Unavailable(retry_after=retry_after):
-                self._later(min(INTERVAL, max(retry_after, 0.1)))
+                self._schedule_read(min(LIST_INTERVAL, max(retry_after, 0.1)))
 
-    def _still_leaving(self, news: ListedTarget) -> ListedTarget:
-        """Keep in mind that a target leaves, though the store has lost it."""
-        if news.leaving or not self._platform.may_be_incomplete(
+    def _keep_leaving(self, listed: ListedTarget) -> ListedTarget:
+        """Keep a target marked as leaving if the store may have lost that."""
+        if listed.leaving or not self._platform.may_be_incomplete(
             self._asked_at
         ):
-            return news
-        old = self._board.group(news.group).targets.get(news.target.name)
-        leaving = old is not None and old.leaving and old.target == news.target
-        return dataclasses.replace(news, leaving=leaving)
+            return listed
+        known = self._board.group(listed.group).targets.get(listed.target.name)
+        leaving = (
+            known is not None
+            and known.leaving
+            and known.target == listed.target
+        )
+        return dataclasses.replace(listed, leaving=leaving)
 
-    def _take(self, all_news: list[ListedTarget], asked_at: float) -> None:
+    def _apply_list(
+        self, targets: list[ListedTarget], asked_at: float
+    ) -> None:
         self._board.targets_seen_at = max(
             self._board.targets_seen_at, asked_at
         )
         now = self._reactor.now()
-        listed = {news.target.name: news for news in all_news}
-        for news in listed.values():
-            self._take_one(news, now)
+        by_name = {entry.target.name: entry for entry in targets}
+        for entry in by_name.values():
+            self._apply_target(entry, now)
         self.apply_connection_limits()
         for group in self._board.groups.values():
             for name in list(group.targets):
-                if name not in listed:
-                    self._take_missing(group, name, now)
+                if name not in by_name:
+                    self._handle_missing(group, name, now)
 
-    def _take_one(self, news: ListedTarget, now: float) -> None:
-        name = news.target.name
+    def _apply_target(self, listed: ListedTarget, now: float) -> None:
+        name = listed.target.name
         self._missing.pop(name, None)
-        group = self._board.group(news.group)
-        old = group.targets.get(name)
-        if news.leaving:
-            until = now + self._leaving_limit
-            if old is not None and old.leaving:
-                until = old.usable_until
-            news = dataclasses.replace(news, usable_until=until)
-        if old == news:
+        group = self._board.group(listed.group)
+        known = group.targets.get(name)
+        if listed.leaving:
+            usable_until = now + self._leaving_usable_time
+            if known is not None and known.leaving:
+                usable_until = known.usable_until
+            listed = dataclasses.replace(listed, usable_until=usable_until)
+        if known == listed:
             return
-        if old is not None and old.target != news.target:
-            # Another life, or another address: nothing seen before holds.
-            self._drop(group, old)
-            old = None
-        group.targets[name] = news
-        self._bound(news)
+        if known is not None and known.target != listed.target:
+            # The target restarted or moved: earlier observations are invalid.
+            self._remove_target(group, known)
+            known = None
+        group.targets[name] = listed
+        self._apply_connection_limit(listed)
         logs.log_event(
             "target",
-            group=news.group,
+            group=listed.group,
             target=name,
-            address=news.target.address,
-            born=news.target.born,
-            zone=news.target.availability_zone,
-            leaving=news.leaving,
-            leads=news.is_primary,
-            known=old is not None,
+            address=listed.target.address,
+            born=listed.target.born,
+            zone=listed.target.availability_zone,
+            leaving=listed.leaving,
+            leads=listed.is_primary,
+            known=known is not None,
         )
 
-    def _take_missing(
+    def _handle_missing(
         self, group: SessionGroup, name: str, now: float
     ) -> None:
         since = self._missing.setdefault(name, now)
-        if now - since < GONE_AFTER:
+        if now - since < REMOVE_AFTER:
             return
-        news = group.targets[name]
-        self._drop(group, news)
+        listed = group.targets[name]
+        self._remove_target(group, listed)
         logs.log_event(
             "target_gone",
             group=group.name,
@@ -224,28 +237,37 @@
             missing_ms=round((now - since) * 1000),
         )
 
-    def _drop(self, group: SessionGroup, news: ListedTarget) -> None:
-        group.targets.pop(news.target.name, None)
-        group.observed_targets.pop(news.target.name, None)
-        self._pools.pool(news.target).set_share(TargetCapacity())
+    def _remove_target(
+        self, group: SessionGroup, listed: ListedTarget
+    ) -> None:
+        group.targets.pop(listed.target.name, None)
+        group.observed_targets.pop(listed.target.name, None)
+        self._pools.pool(listed.target).set_share(TargetCapacity())
 
-    def _bound(self, news: ListedTarget) -> None:
+    def _apply_connection_limit(self, listed: ListedTarget) -> None:
         catalog = self._board.catalog
-        limits = catalog.groups.get(news.group) if catalog else None
+        limits = catalog.groups.get(listed.group) if catalog else None
         if limits is None:
             return
-        fair = limits.max_connections / self._board.vm_count
-        bound = max(MIN_CONNECTIONS, int(fair * SHARE_TIMES))
-        connections = bound
-        idle, kept = idle_time(fair), max(1, int(fair * KEPT_PART))
-        if self._holders.holds(news.target.name, self._reactor.now()):
-            # Its zone's reads come here: as many as the target runs at once
-            # may, over connections that stay for each team's next ones.
-            bound = max(bound, news.target.slots)
-            connections = max(bound, int(limits.max_connections * HOLDER_PART))
-            idle, kept = HOLDER_IDLE, connections
-        share = TargetCapacity(slots=bound, connections=connections)
-        pool = self._pools.pool(news.target)
+        fair_share = limits.max_connections / self._board.vm_count
+        max_connections = max(
+            MIN_CONNECTIONS, int(fair_share * MAX_SHARE_FACTOR)
+        )
+        connections = max_connections
+        idle, max_kept_idle = idle_timeout(fair_share), max(
+            1, int(fair_share * KEPT_IDLE_FRACTION)
+        )
+        if self._zone_holders.holds(listed.target.name, self._reactor.now()):
+            # All reads of the zone come here. They may fill all slots of the
+            # target, and connections are kept for the next reads of each team.
+            max_connections = max(max_connections, listed.target.slots)
+            connections = max(
+                max_connections,
+                int(limits.max_connections * HOLDER_CONNECTION_FRACTION),
+            )
+            idle, max_kept_idle = HOLDER_IDLE_TIMEOUT, connections
+        share = TargetCapacity(slots=max_connections, connections=connections)
+        pool = self._pools.pool(listed.target)
         if pool.share != share:
             pool.set_share(share)
-        pool.set_idle_limits(idle, max_kept=kept)
+        pool.set_idle_limits(idle, max_kept=max_kept_idle)
--- a/bamboospring/sessions/vm_registry.py
+++ b/bamboospring/sessions/vm_registry.py
@@ -1,18 +1,19 @@
-"""The VMs that serve sessions, as the platform's store lists them.
-
-Every VM files an entry before it takes its first proof of a primary and
-renews it while it runs. Whoever changes a primary reads the entries after its
-intent is stored: all VMs that may hold a proof from before are on that list,
-and once each of them has let go of it nobody is left to wait for.
-
-An entry is removed by the leader once it has not been renewed for a long
-time. A VM that could not renew its own for most of that time stops taking
-proofs, so that none is ever taken by a VM that is on no list.
-
-A store that comes back from an older copy may have lost entries. A VM that
-hears of it files its own again before it takes another proof. One that does
-not hear of it, since it can't read the store, goes on for as long as without
-any renewal, so for that long the list may lack a VM that holds a proof.
+"""The VMs that serve sessions, as listed in the platform's store.
+
+Every VM stores an entry before it takes its first proof of a primary, and
+renews it while it runs. The leader of a change of primary reads the entries
+after it has stored its intent. All VMs that may hold an earlier proof are on
+that list, so once each of them has released its proof there is no need to
+wait.
+
+The leader removes an entry that has not been renewed for a long time. A VM
+that could not renew its own entry for most of that time stops taking proofs,
+so no VM without an entry ever takes one.
+
+A store that is restored from an older copy may have lost entries. A VM that
+notices this stores its entry again before it takes another proof. A VM that
+can't read the store does not notice, and takes proofs until its last renewal
+is too old, so for that long the list may lack a VM that holds a proof.
 """
 
 from __future__ import annotations
@@ -35,21 +36,21 @@
 from bamboospring.store_version import era_of
 from bamboospring.store_version import version_text
 
-__all__ = ["VM_KIND", "ListedVm", "VmRegistry", "read_vm"]
+__all__ = ["VM_KIND", "ListedVm", "VmRegistry", "decode_vm"]
 
 VM_KIND = "vms"
-# Seconds between renewals of a VM's entry, after how long without one it
-# takes no more proofs, and after how long its entry is removed.
-RENEW = 15.0
-ISOLATED_AFTER = 45.0
+# Seconds between renewals of a VM's entry, age of the last renewal at which
+# the VM stops taking proofs, and age at which its entry is removed.
+RENEW_INTERVAL = 15.0
+MAX_RENEWAL_AGE = 45.0
 REMOVE_AFTER = 60.0
-RETRY = 0.3
+RETRY_DELAY = 0.3
 LIST_TIMEOUT = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListedVm:
-    """One VM's entry; `nonce` tells one life of it from the next."""
+    """One VM's entry; each start of its process has a new `nonce`."""
 
     name: str
     address: str
@@ -58,8 +59,8 @@
     version: int = 0
 
 
-def read_vm(found: Found) -> ListedVm | None:
-    """Read an entry; None if it is none."""
+def decode_vm(found: Found) -> ListedVm | None:
+    """Decode an entry; return None if it is invalid."""
     raw: Any = found.value
     try:
         return ListedVm(
@@ -74,7 +75,7 @@
 
 
 class VmRegistry:
-    """Files this VM's entry and reads those of the others."""
+    """Stores this VM's entry and reads those of the others."""
 
     def __init__(
         self, *, reactor: Reactor, platform: PlatformClient, local_vm: ListedVm
@@ -84,59 +85,64 @@
         self.local_vm = local_vm
         self._version = 0
         self._renewals = 0
-        self._filed_at = -1e9
+        self._renewed_at = -1e9
         self._timer: Timer | None = None
-        self._unmoved: dict[str, tuple[int, float]] = {}
+        self._unchanged_since: dict[str, tuple[int, float]] = {}
         self.vms: dict[str, ListedVm] = {}
 
-    def start(self, on_filed: Callable[[], None]) -> None:
-        """File the entry, call back once it is, and go on renewing it."""
-        self._platform.on_restored.append(self._store_returned)
-        self._file(on_filed)
+    def start(self, on_registered: Callable[[], None]) -> None:
+        """Store the entry, call back once it is stored, and keep renewing."""
+        self._platform.on_restored.append(self._on_store_restored)
+        self._store_entry(on_registered)
 
     def can_take_proofs(self, now: float) -> bool:
-        """Tell whether this VM is surely on every list."""
-        return now - self._filed_at < ISOLATED_AFTER
+        """Return whether this VM's entry certainly is in the list."""
+        return now - self._renewed_at < MAX_RENEWAL_AGE
 
-    def is_whole(self, now: float) -> bool:
-        """Tell whether every VM that may hold a proof is on the list."""
-        returned_at = self._platform.restored_at
-        return returned_at is None or now - returned_at >= ISOLATED_AFTER
+    def is_complete(self, now: float) -> bool:
+        """Return whether every VM that may hold a proof is in the list."""
+        restored_at = self._platform.restored_at
+        return restored_at is None or now - restored_at >= MAX_RENEWAL_AGE
 
-    def _store_returned(self) -> None:
-        self._filed_at = -1e9
+    def _on_store_restored(self) -> None:
+        self._renewed_at = -1e9
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-            self._file(None)
+            self._store_entry(None)
 
     def refresh(
         self, on_listed: Callable[[dict[str, ListedVm] | None], None]
     ) -> None:
-        """Read all entries; calls back with None if they can't be had."""
+        """Read all entries; call back with None if the read fails."""
 
         def answered(result: Changes | Unavailable) -> None:
             if isinstance(result, Unavailable):
                 on_listed(None)
                 return
-            vms = [read_vm(found) for found in result.objects]
+            vms = [decode_vm(found) for found in result.objects]
             self.vms = {vm.name: vm for vm in vms if vm is not None}
             on_listed(self.vms)
 
         self._platform.list(VM_KIND, "vms", answered, timeout=LIST_TIMEOUT)
 
-    def remove_lapsed(self, now: float) -> None:
-        """Remove the entries of VMs that have long been gone."""
+    def remove_expired(self, now: float) -> None:
+        """Remove entries that have not been renewed for too long."""
         for vm in list(self.vms.values()):
-            version, since = self._unmoved.get(vm.name, (0, now))
+            version, unchanged_since = self._unchanged_since.get(
+                vm.name, (0, now)
+            )
             if version != vm.version:
-                since = now
-            self._unmoved[vm.name] = (vm.version, since)
-            if now - since >= REMOVE_AFTER and vm.name != self.local_vm.name:
+                unchanged_since = now
+            self._unchanged_since[vm.name] = (vm.version, unchanged_since)
+            if (
+                now - unchanged_since >= REMOVE_AFTER
+                and vm.name != self.local_vm.name
+            ):
                 self._remove(vm)
 
     def _remove(self, vm: ListedVm) -> None:
-        self._unmoved.pop(vm.name, None)
+        self._unchanged_since.pop(vm.name, None)
 
         def answered(result: Deleted | Conflict | Unavailable) -> None:
             logs.log_event(
@@ -150,9 +156,9 @@
 
     def _renew(self) -> None:
         self._timer = None
-        self._file(None)
+        self._store_entry(None)
 
-    def _file(self, on_filed: Callable[[], None] | None) -> None:
+    def _store_entry(self, on_registered: Callable[[], None] | None) -> None:
         self._renewals += 1
         sent_at = self._reactor.now()
         value = {
@@ -167,25 +173,33 @@
         ) -> None:
             match result:
                 case Stored(version=version) if self._is_lost(version):
-                    # The store has come back since it took this.
+                    # The store was restored after it accepted this entry.
                     self._version = version
-                    self._reactor.call_later(0, lambda: self._file(on_filed))
+                    self._reactor.call_later(
+                        0, lambda: self._store_entry(on_registered)
+                    )
                     return
                 case Stored(version=version):
                     self._version = version
-                    self._filed_at = sent_at
-                    if on_filed is not None:
-                        on_filed()
-                    self._timer = self._reactor.call_later(RENEW, self._renew)
+                    self._renewed_at = sent_at
+                    if on_registered is not None:
+                        on_registered()
+                    self._timer = self._reactor.call_later(
+                        RENEW_INTERVAL, self._renew
+                    )
                     return
                 case Conflict(version=version):
-                    # The entry of an earlier life, or our own renewal whose
-                    # answer was lost. It is replaced at once: until then a
-                    # VM that has just started can serve nobody.
+                    # The entry of an earlier process, or this VM's renewal
+                    # whose answer was lost. Replaced at once, because a VM
+                    # that has just started can't serve callers without it.
                     self._version = version
-                    self._reactor.call_later(0, lambda: self._file(on_filed))
+                    self._reactor.call_later(
+                        0, lambda: self._store_entry(on_registered)
+                    )
                     return
-            self._reactor.call_later(RETRY, lambda: self._file(on_filed))
+            self._reactor.call_later(
+                RETRY_DELAY, lambda: self._store_entry(on_registered)
+            )
 
         self._platform.put(
             VM_KIND, self.local_vm.name, self._version, value, "vm", answered
--- a/bamboospring/store_version.py
+++ b/bamboospring/store_version.py
@@ -1,9 +1,9 @@
-"""Versions that only grow, also where the store's revisions go back.
+"""Versions that only increase, even if the store's revisions go back.
 
-A store that comes back from an older copy gives revisions out again, and tells
-so by a higher era. A version holds both, the era in its upper bits, so what
-was read in a later era is newer whatever its revision. Version 0 stands for no
-object, in every era.
+A store that is restored from an older copy assigns revisions again and reports
+a higher era. A version has the era in its upper bits and the revision in the
+lower ones, so an object read in a later era is newer whatever its revision.
+Version 0 means that there is no object, in every era.
 
     version = version_of(era=2, revision=124)
     era_of(version), revision_of(version)    # 2, 124
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VersionedState:
-    """What is stored with the era in which it was, so that a return shows.
+    """A state that is stored together with the era in which it was stored.
 
-    A store that has come back from an older copy shows states of an earlier
-    era than its own, and newer ones may be lost.
+    A store that was restored from an older copy returns states of an earlier
+    era than its own, and newer states may be lost.
     """
 
     version: int
@@ -50,12 +50,12 @@
 
     @property
     def is_current(self) -> bool:
-        """Tell whether no newer state can have been lost."""
+        """Return whether the store cannot have lost a newer state."""
         return self.era == era_of(self.version)
 
     @property
     def sort_key(self) -> tuple[int, int]:
-        """Return what orders states by when they were stored."""
+        """Return a key that sorts states by when they were stored."""
         return self.era, revision_of(self.version)
 
 
@@ -63,7 +63,8 @@
 class UnsettledState:
     """An object whose newest state the store may have lost.
 
-    In `era` it shows a state at `version`, of an earlier era; 0: none.
+    In `era` the store returns a state of an earlier era at `version`, or no
+    object if `version` is 0.
     """
 
     era: int
@@ -71,7 +72,7 @@
 
 
 def version_of(*, era: int, revision: int) -> int:
-    """Return the version of an object that an era shows at a revision."""
+    """Return the version of an object read at a revision in an era."""
     return era << REVISION_BITS | revision if revision else 0
 
 
@@ -86,13 +87,13 @@
 
 
 def version_text(version: int) -> str:
-    """Return a version as logs show it: `2.124`, or `124` in era 0."""
+    """Return a version as text for logs: `2.124`, or `124` in era 0."""
     era, revision = era_of(version), revision_of(version)
     return f"{era}.{revision}" if era else str(revision)
 
 
 def in_era(result: Dated, era: int) -> Dated:
-    """Return a result whose revisions are versions of an era."""
+    """Return a result with its revisions replaced by versions of an era."""
     match result:
         case Found() | Stored() | Conflict():
             version = version_of(era=era, revision=result.version)
--- a/features/steps/session_decisions_steps.py
+++ b/features/steps/session_decisions_steps.py
@@ -31,8 +31,8 @@
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.overdue_change import finished_record
+from bamboospring.sessions.overdue_change import is_finisher
 from bamboospring.sessions.overdue_change import is_overdue
-from bamboospring.sessions.overdue_change import takes_part
 from bamboospring.sessions.ports import Refusal
 from bamboospring.sessions.ports import ResetConnection
 from bamboospring.sessions.proofs import TargetReport
@@ -487,7 +487,7 @@
 
 @given("a change of primary that was settled at {at:f} and is not proven yet")
 def given_settled(context, at):
-    context.group = SessionGroup(name="g", settled_at=at)
+    context.group = SessionGroup(name="g", primary_set_at=at)
 
 
 @then("a proof is due until {until:f}")
@@ -693,9 +693,9 @@
 def then_few(context, many, few, less):
     chance = random.Random(3)
     draws = [chance.getrandbits(32) for _ in range(many)]
-    looking = sum(takes_part(draw, many) for draw in draws)
+    looking = sum(is_finisher(draw, many) for draw in draws)
     assert 0 < looking <= 3 * few, looking
-    assert all(takes_part(draw, less) for draw in draws)
+    assert all(is_finisher(draw, less) for draw in draws)
 
 
 @given("a change whose intent names m2 and whose proofs are over")
@@ -708,13 +708,13 @@
         targets=("m0", "m1", "m2"),
     )
     change.begin(0.0)
-    change.replied("m0", None, 0.0)
-    change.replied("m1", replica(received=5), 0.0)
-    change.replied("m2", replica(received=6), 0.0)
-    change.stored(2, 0.0)
+    change.on_report("m0", None, 0.0)
+    change.on_report("m1", replica(received=5), 0.0)
+    change.on_report("m2", replica(received=6), 0.0)
+    change.on_stored(2, 0.0)
     assert change.record.change.candidate == "m2"
-    change.replied("m1", replica(received=5, held_term=2), 0.0)
-    change.all_released(0.1)
+    change.on_report("m1", replica(received=5, held_term=2), 0.0)
+    change.on_proofs_released(0.1)
     context.change = change
 
 
@@ -731,9 +731,9 @@
 @when("m1 turns out to have more than m2")
 def when_more(context):
     change = context.change
-    change.replied("m0", None, 0.15)
-    change.replied("m1", replica(received=8, held_term=2), 0.15)
-    context.actions = change.replied("m2", replica(received=6), 0.15)
+    change.on_report("m0", None, 0.15)
+    change.on_report("m1", replica(received=8, held_term=2), 0.15)
+    context.actions = change.on_report("m2", replica(received=6), 0.15)
 
 
 @then("the record is stored with m1 before m1 is ordered")
@@ -741,5 +741,5 @@
     (action,) = context.actions
     assert isinstance(action, StoreRecord), action
     assert action.record.change.candidate == "m1"
-    (action,) = context.change.stored(3, 0.3)
+    (action,) = context.change.on_stored(3, 0.3)
     assert action == OrderPromotion(target="m1")
--- a/features/steps/session_worlds.py
+++ b/features/steps/session_worlds.py
@@ -29,19 +29,19 @@
 from bamboospring.sessions.ports import AskReport
 from bamboospring.sessions.ports import HoldTerm
 from bamboospring.sessions.ports import PromotionResult
-from bamboospring.sessions.proofs import others_agree
+from bamboospring.sessions.proofs import others_confirm_term
 from bamboospring.sessions.proofs import PROOF_LIFETIME
 from bamboospring.sessions.proofs import TargetReport
 from bamboospring.sessions.record_keeper import RecordKeeper
-from bamboospring.sessions.settled_record import latest_known
+from bamboospring.sessions.settled_record import latest_known_record
 from bamboospring.sessions.settled_record import settled_record
 from bamboospring.sessions.takeover import OrderPromotion
 from bamboospring.sessions.takeover import ReadRecord
+from bamboospring.sessions.takeover import SendToTarget
 from bamboospring.sessions.takeover import StoreRecord
 from bamboospring.sessions.takeover import Takeover
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.takeover import TakeoverPhase
-from bamboospring.sessions.takeover import TellTarget
 from bamboospring.sessions.target_choice import choose_target
 from bamboospring.sessions.target_choice import SendTo
 from bamboospring.sessions.target_choice import TargetRequirements
@@ -260,7 +260,7 @@
         if not self.leads(number):
             return
         vm.keeper.apply(self.record)
-        if any(self.leads_by(c) and not c.over for c in self.changes):
+        if any(self.leads_by(c) and not c.is_over for c in self.changes):
             return
         known, unsettled = vm.group.record, vm.group.unsettled
         if unsettled is None:
@@ -286,7 +286,7 @@
         if unsettled is None or group.record is not known:
             return
         if not self.leads(number) or any(
-            self.leads_by(c) and not c.over for c in self.changes
+            self.leads_by(c) and not c.is_over for c in self.changes
         ):
             return
         record = settled_record(known, unsettled, NAMES, reports)
@@ -301,7 +301,7 @@
         self.begin(
             number,
             TakeoverCause.UNSETTLED,
-            latest_known(known, unsettled, reports),
+            latest_known_record(known, unsettled, reports),
         )
 
     def leads_by(self, change):
@@ -384,7 +384,7 @@
         def judge():
             if vm.record is not record or record.change is not None:
                 return
-            if others_agree(others, reports, record.term):
+            if others_confirm_term(others, reports, record.term):
                 vm.proof.renew(asked_at)
                 self.seen.counts["proof_by_targets"] += 1
                 self.check_proof(vm)
@@ -438,7 +438,7 @@
 
     def begin(self, number, cause, record):
         """Begin a change; a VM leads one at a time."""
-        if any(self.leads_by(c) and not c.over for c in self.changes):
+        if any(self.leads_by(c) and not c.is_over for c in self.changes):
             return
         change = Takeover(
             vm=f"vm{number}",
@@ -454,11 +454,11 @@
         self.tick(change)
 
     def tick(self, change):
-        if change.over:
+        if change.is_over:
             return
         self.at(0.1, lambda: self.tick(change))
         if not self.wait and change.phase is TakeoverPhase.WAIT:
-            self.act(change, change.all_released(self.now))
+            self.act(change, change.on_proofs_released(self.now))
             return
         self.act(change, change.tick(self.now))
 
@@ -473,7 +473,7 @@
             ordering = isinstance(action, OrderPromotion)
             if ordering and not self.may_act(change, ORDER_TIMEOUT):
                 result = PromotionResult.NOT_SENT
-                self.act(change, change.ordered(result, self.now))
+                self.act(change, change.on_promotion_result(result, self.now))
                 continue
             if self.random.random() < 0.05:
                 self.seen.counts["lost"] += 1
@@ -487,19 +487,19 @@
 
     def carry_out(self, change, action):
         match action:
-            case TellTarget(target=name, order=order):
+            case SendToTarget(target=name, order=order):
                 self.tell(change, name, order)
             case StoreRecord():
                 self.store(change, action, answered=True)
             case ReadRecord():
-                self.act(change, change.read(self.record, self.now))
+                self.act(change, change.on_record_read(self.record, self.now))
             case OrderPromotion(target=name):
                 self.promote(change, name)
 
     def tell(self, change, name, order):
         member = self.members[name]
         if not member.up:
-            self.act(change, change.replied(name, None, self.now))
+            self.act(change, change.on_report(name, None, self.now))
             return
         match order:
             case HoldTerm(term=term):
@@ -517,7 +517,7 @@
                     )
             case AskReport():
                 report = member.report()
-                if not self.hold and name == change.holder:
+                if not self.hold and name == change.term_holder:
                     report = TargetReport(
                         is_primary=member.leads,
                         term=member.term,
@@ -528,7 +528,7 @@
         back = self.random.uniform(0.001, 0.15)
         self.at(
             back,
-            lambda: self.act(change, change.replied(name, report, self.now)),
+            lambda: self.act(change, change.on_report(name, report, self.now)),
         )
 
     def store(self, change, action, *, answered):
@@ -537,25 +537,25 @@
         if stored:
             self.write(wanted)
         if not answered or stored and era_of(wanted.version) != self.era:
-            self.act(change, change.store_unsure(self.now))
+            self.act(change, change.on_store_unanswered(self.now))
         elif stored:
             version = self.record.version
-            self.act(change, change.stored(version, self.now))
+            self.act(change, change.on_stored(version, self.now))
         else:
-            self.act(change, change.read(self.record, self.now))
+            self.act(change, change.on_record_read(self.record, self.now))
 
     def promote(self, change, name):
         member = self.members[name]
         if not member.up:
             result = PromotionResult.REFUSED
-            self.act(change, change.ordered(result, self.now))
+            self.act(change, change.on_promotion_result(result, self.now))
             return
         self.ordered += 1
         self.at(PROMOTE, lambda: self.led(name))
         result = PromotionResult.ACCEPTED
         if self.random.random() < 0.2:
             result = PromotionResult.UNKNOWN
-        self.act(change, change.ordered(result, self.now))
+        self.act(change, change.on_promotion_result(result, self.now))
 
     def led(self, name):
         self.ordered -= 1
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -218,7 +218,9 @@
     record = PrimaryRecord(
         group="g", version=7, term=1, primary="m0", change=change
     )
-    context.releases.ask_all(record, lambda: context.released.append(1))
+    context.releases.request_release(
+        record, lambda: context.released.append(1)
+    )
     context.reactor.run(0.5)
 
 
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -42,7 +42,7 @@
 from bamboospring.sessions.model import SessionGroup
 from bamboospring.sessions.node import LINK_BREAKER
 from bamboospring.sessions.ports import AskReport
-from bamboospring.sessions.primary_health import PrimarySight
+from bamboospring.sessions.primary_health import PrimaryHealth
 from bamboospring.sessions.primary_health import replacement_cause
 from bamboospring.sessions.takeover import TakeoverCause
 from bamboospring.sessions.target_control import NoReport
@@ -350,12 +350,12 @@
     pool = context.world.pool
     group = SessionGroup(name="g")
     group.record = PrimaryRecord(group="g", version=1, term=1, primary="t")
-    sight = PrimarySight(
+    sight = PrimaryHealth(
         unanswered_since=pool.unanswered_since,
-        refused_since=pool.refused_since,
+        connections_refused_since=pool.refused_since,
     )
     assert replacement_cause(group, sight, at) is TakeoverCause.FAILED
-    assert replacement_cause(group, PrimarySight(), at) is None
+    assert replacement_cause(group, PrimaryHealth(), at) is None
 
 
 @given("five connections at rest of which {kept:d} may rest for {idle:g} s")
