--- a/features/group_records.feature
+++ b/features/group_records.feature
@@ -1,10 +1,10 @@
 Feature: Group records reach the VMs that need them
 
-  # The caller sees writes refused with no_primary for seconds after a start.
-  # A peer pushed the group's record to a VM before that VM had its first list
-  # of VMs, so it could not tell that the record concerned it; the same record
-  # again at the same version was not news. As the bucket's leader it never
-  # began the election. Once the list is there the record must be in force.
+  # A peer sends the group's record to a VM that has no list of VMs yet and so
+  # doesn't know that it is a holder of the group. The same version is not sent
+  # again. If the VM dropped the record, it would not start a change of primary
+  # as the bucket's leader, and writes would fail with no_primary for seconds
+  # after a start.
   Scenario: A record that comes before the list of VMs is taken up after it
     Given a VM that has no list of VMs yet
     When a peer sends it the record of a group
--- a/features/session_decisions.feature
+++ b/features/session_decisions.feature
@@ -1,23 +1,22 @@
 Feature: Sessions are fresh, and no replaced primary is used
 
   Scenario: No use of a primary outlives its promotion's wait
-    # A caller writes through a VM that is cut from the store and from the VM
-    # that leads, and gets its answer from a primary that was replaced: the
-    # write is in nobody's log, and reads there miss what others were told.
-    # The VM still took the old primary for the primary when the new one began.
+    # Guards against a VM that still uses the old primary when the new one is
+    # promoted. It is cut off from the store and from the leader: a write
+    # through it is lost, and its reads miss commits that others have seen.
     Then in 400 explored changes no proof outlives a promotion
     And the exploration has seen promotions, lost answers and takeovers by two
 
   Scenario: A change that any VM may end keeps that promise too
-    # The VM that leads orders a promotion and is lost; another one records the
-    # target that leads, while a third has taken the lease and goes its own
-    # way. Were another target ordered under the same record, both would be
-    # used: callers of one VM would not see what those of the next have written.
-    Then in 4000 explored changes that any VM may end no proof outlives one
-    And the exploration has seen changes that were ended so
+    # The leader orders a promotion and fails. One VM records the promoted
+    # target while another takes the lease and continues the change on its own.
+    # If it ordered another target under the same record, both targets would be
+    # used, and callers of one VM would not see the writes of another.
+    Then in 4000 explored changes that any VM may finish no proof outlives a promotion
+    And the exploration has seen changes that other VMs finished
 
   Scenario: The exploration finds an end that does not ask whether it came late
-    Then an end stored over whatever is there is found in 4000 explored changes
+    Then finishing a change without a version check is found in 4000 explored changes
 
   Scenario: Only the target that the record names ends a change
     Given a change of term 3 under way whose record names m1
@@ -28,27 +27,28 @@
   Scenario: Few VMs look after a change, and not before its leader should be done
     Given a change seen at 10.0
     Then it is not overdue at 10.7 and is overdue at 10.9
-    And of 480 VMs about 4 look after it, of 3 all do
+    And of 480 VMs about 4 check it, of 3 all do
 
   Scenario: A promotion names its target first
-    # The survey found m2 ahead, so the intent names m2. When proofs are over
-    # m1 has received more. The record is stored anew before m1 is ordered.
-    Given a change whose intent names m2 and whose proofs are over
-    When m1 turns out to have more than m2
-    Then the record is stored with m1 before m1 is ordered
+    # The survey found m2 ahead, so the intent names m2. Once the proofs are
+    # released m1 has received more, and the record must be stored again with
+    # m1 before m1 is promoted.
+    Given a change whose intent names m2 and whose proofs are released
+    When m1 reports a later position than m2
+    Then the record is stored with m1 before m1 is promoted
 
   Scenario: The exploration finds a change that does not wait
-    # The same worlds with the wait left out, so that the check is seen failing.
+    # The same simulations without the wait: shows that the check can fail.
     Then a change that promotes at once is found in 200 explored changes
 
   Scenario: The exploration finds a change that has no replica hold the term
     # A VM that can't read the store asks the other targets. If none of them
-    # holds the next term they all agree with the old one.
+    # holds the next term, all of them confirm the old one.
     Then a change that has no term held is found in 400 explored changes
 
   Scenario: No read is older than its route accepts
-    # A screen shows a switch as pending after the old bank had confirmed it:
-    # the read ran at a replica whose log lacked the commit.
+    # Guards against a read at a replica that lacks a commit older than the
+    # staleness that the route accepts.
     Then in 400 explored histories no read lacks what it must see
     And most explored reads ran at replicas
 
@@ -61,8 +61,9 @@
     Then it goes to the primary without a position
 
   Scenario: The oldest sample that is young enough is asked for
-    # Replicas lag by a second. Reads that accept two are refused by them, and
-    # all work falls on the primary, if the newest position is asked for.
+    # Replicas lag by a second. If reads required the newest position, replicas
+    # would refuse even reads that accept two seconds, and all reads would go
+    # to the primary.
     Given a group with a primary and two replicas
     And a sample of position 7 taken at 10.0
     And a sample of position 9 taken at 11.0
@@ -72,8 +73,9 @@
     Then it goes to a replica that must have position 9
 
   Scenario: Replicas that lag by seconds are not asked again and again
-    # Both replicas lag by six seconds and reads accept 1.5. Each read was first
-    # refused by both, then came to the primary, where it waited once more.
+    # Both replicas lag by six seconds and reads accept 1.5. Guards against
+    # each read being refused by both replicas before it goes to the primary,
+    # where it waits again.
     Given a group with a primary and two replicas
     And a sample of each 0.1 s, and replicas that lag by 6 s
     When 20 reads a second that accept 1.5 s come for 5 s
@@ -83,8 +85,8 @@
     Then after the first 1.1 s all reads ran at replicas
 
   Scenario: A replica that lags a little too much is asked when it can be there
-    Then a replica that has shown what is 0.3 s older is left for 0.3 s
-    And one that has shown what is 20 s older is left for 1.0 s
+    Then a replica whose position is 0.3 s too old is skipped for 0.3 s
+    And one whose position is 20 s too old is skipped for 1.0 s
 
   Scenario: A replica that was behind is passed over for a while
     Given a group with a primary and two replicas
@@ -110,39 +112,40 @@
 
   Scenario: A VM off the list takes no proofs
     # A VM that could not renew its entry for long may have been removed from
-    # the list of those that a change of primary asks to let go.
-    Given a VM whose entry was filed at 100.0
+    # the list of VMs that a change of primary asks to release their proofs.
+    Given a VM whose entry was stored at 100.0
     Then it may take proofs at 144.0
     And it may not take proofs at 146.0
 
   Scenario: A VM that starts again replaces its old entry at once
-    # Callers are held while a VM starts. It took 0.3 s longer when it waited
-    # after the conflict with the entry of its earlier life.
+    # Callers wait while a VM starts. A delay after the conflict with the entry
+    # of its earlier process makes the start 0.3 s longer.
     Given a VM whose entry exists at version 41
-    When it files its entry
-    Then the second try follows without a pause and replaces version 41
+    When it stores its entry
+    Then the second attempt follows at once and replaces version 41
 
   Scenario: An opening is held while the VM learns, and refused after a second
-    # The VM has just started and knows no configuration, or not yet the group.
-    # Callers wait for it a moment; one that has waited a second is told when
-    # to come back, since other VMs may know more by now.
+    # The VM has just started and has no configuration, or no record of the
+    # group. Callers wait briefly; after a second they are refused with a retry
+    # time, because other VMs may be ready by then.
     Given a VM that has just started and knows nothing
-    Then an opening is held for 1.0 s and then told to come back
-    And one for a group without a record is held for the first 3.0 s only
+    Then an opening waits for 1.0 s and is then refused with a retry time
+    And one for a group without a record waits for the first 3.0 s only
     And one for an unknown database is refused at once
 
   Scenario: Urgent statements go before all others
-    # All reads have come to the primary. Instructions that need the primary
-    # wait behind them though their route goes first.
+    # All reads go to the primary. Guards against writes that wait behind them
+    # although their route has precedence.
     Given an admission with 1 slot and room for 64
     When caller one asks for 6 statements with 5000 ms left
-    And caller two asks urgently with 5000 ms left
+    And caller two sends an urgent statement with 5000 ms left
     Then caller two runs after at most 1 others
 
   Scenario: A target whose connections are used up is not asked again at once
-    # After all VMs lost power a target counts their connections for seconds
-    # and refuses new ones; asking every 10 ms made 4,000 refusals a minute.
-    Given connections that may be 4 at a pace of 5 ms
+    # After all VMs lost power a target still counts their connections for
+    # seconds and refuses new ones. Attempts every 10 ms cause 4,000 refusals a
+    # minute.
+    Given at most 4 connections with one opened per 5 ms
     When the target is full at 1.0
     Then none is opened before 1.04
     And idle ones are closed after 0.3 s until 6.0
@@ -156,33 +159,34 @@
     And a session with no values clears the one with lang=1 first
 
   Scenario: A statement waits for the end of a change if that is in its time
-    # During a change callers were refused, came again at once, and had used
-    # their tries up long before the new primary was there.
+    # Guards against callers that are refused during a change, retry at once,
+    # and use up their retries long before there is a new primary.
     Given a change of primary seen at 10.0 that takes 1.3 s
     Then a statement of 10.5 with 1 s waits until 11.5
-    And a statement of 10.1 with 1 s is refused at once, to come back after 1.2 s
+    And a statement of 10.1 with 1 s is refused at once, with a retry after 1.2 s
     And a statement of 11.7 with 1 s does not wait when overdue
 
   Scenario: A stopping VM leaves sessions at work to their work
-    # The platform takes a while to notice, so callers that are sent away come
-    # back here. Those that rest go first, the longest at rest before others.
+    # The platform notices late that a VM stops, so disconnected callers
+    # reconnect to it. Idle sessions are closed first, the longest idle ones
+    # before the others.
     Given sessions that were used 5.0, 1.0 and 0.1 s ago
-    Then a VM that has stopped for 2.3 of 6 s tells the first two to go
-    And after 2.5 s it tells all three
+    Then a VM that has been stopping for 2.3 of 6 s disconnects the first two
+    And after 2.5 s it disconnects all three
 
   Scenario: Sessions at rest are closed a few at a time
-    Then 40 sessions at rest are closed evenly over the first 2.4 s of 6 s
+    Then 40 idle sessions are closed evenly over the first 2.4 s of 6 s
 
   Scenario: Those who waited for a change are not refused in its last moment
-    # A new primary is told by word of mouth, which proves nothing; the proof
-    # takes a call more. Callers who had waited a second for the change were
-    # all refused in those 10 ms.
-    Given a change of primary that was settled at 20.0 and is not proven yet
+    # The record of a new primary arrives from another VM and is not a proof;
+    # the proof takes one more call. Guards against refusing, in those 10 ms,
+    # callers that have waited a second for the change.
+    Given a primary that was recorded at 20.0 and is not proven yet
     Then a proof is due until 20.4
     And none is due once it is proven
 
   Scenario: What goes before others is known without a look at all routes
-    # With thousands of routes a look at each for every statement is what makes
-    # statements late.
+    # With thousands of routes, checking all of them for each statement delays
+    # statements.
     Given a catalog of 3000 routes of urgency 2 and one of urgency 1
-    Then only the one is urgent, and 20000 questions take less than 1 s
+    Then only that one is urgent, and 20000 lookups take less than 1 s
--- a/features/steps/exploration_steps.py
+++ b/features/steps/exploration_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the explorations, whole or with one seeded fault."""
+"""Steps that run the explorations, unchanged or with one seeded fault."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from bamboospring.commit import majority_size
 
 EXAMPLES = int(os.environ.get("BAMBOOSPRING_EXAMPLES", "100"))
-# Which examples are drawn depends on the constants of all modules that are
-# loaded. With 4 times as many, a change elsewhere hid a seeded fault; the
-# search ends with the first find, so more cost little.
+# Which examples are drawn depends on the constants of all loaded modules. With
+# 4 times as many examples, a change in another module hid a seeded fault. The
+# search ends with the first find, so more examples cost little.
 FAULT_EXAMPLES = 20 * EXAMPLES
 
 
 def _found(run: Callable[[], None]) -> str:
-    """Return what broke, or an empty text."""
+    """Return the message of the violation, or an empty string."""
     try:
         run()
     except AssertionError as exc:
--- a/features/steps/group_records_steps.py
+++ b/features/steps/group_records_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how group records spread, with fakes at the interfaces."""
+"""Steps for the distribution of group records, with faked interfaces."""
 
 from __future__ import annotations
 
--- a/features/steps/session_decisions_steps.py
+++ b/features/steps/session_decisions_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decisions of sessions, without any process."""
+"""Steps for the pure decisions of sessions, without any process."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
 
 
 def index_at(instant):
-    """Return the newest position of the primary at an instant."""
+    """Return the index of the primary's newest position at an instant."""
     return int(instant * 10)
 
 
@@ -157,7 +157,7 @@
 
 
 def read_once(context, age, now):
-    """Run one read and return where it was served."""
+    """Run one read and return the target that served it."""
     group, excluded = context.group, set()
     while True:
         needs = TargetRequirements(
@@ -190,9 +190,10 @@
 
 
 @then(
-    "a replica that has shown what is {gap:g} s older is left for {pause:g} s"
+    "a replica whose position is {gap:g} s too old is skipped for "
+    "{pause:g} s"
 )
-@then("one that has shown what is {gap:g} s older is left for {pause:g} s")
+@then("one whose position is {gap:g} s too old is skipped for {pause:g} s")
 def then_left(context, gap, pause):
     samples = SampleLog()
     for n in range(100):
@@ -280,7 +281,7 @@
 
 
 class FakePlatform:
-    """Answers each put with what it is given, in order."""
+    """Answers each put with the next of the given results."""
 
     def __init__(self, results):
         self.results = results
@@ -296,7 +297,7 @@
 
 
 class FakeReactor:
-    """Keeps what is to be called later, with its delay."""
+    """Records scheduled callbacks with their delays."""
 
     def __init__(self):
         self.time = 100.0
@@ -316,7 +317,7 @@
     return made, reactor, platform
 
 
-@given("a VM whose entry was filed at {at:f}")
+@given("a VM whose entry was stored at {at:f}")
 def given_filed(context, at):
     from bamboospring.object_store import Stored
 
@@ -342,12 +343,12 @@
     context.registry, context.reactor, context.platform = made
 
 
-@when("it files its entry")
+@when("it stores its entry")
 def when_files(context):
     context.registry.start(lambda: None)
 
 
-@then("the second try follows without a pause and replaces version {v:d}")
+@then("the second attempt follows at once and replaces version {v:d}")
 def then_at_once(context, v):
     delay, callback = context.reactor.later[0]
     assert delay == 0, delay
@@ -355,20 +356,20 @@
     assert context.platform.puts == [0, v], context.platform.puts
 
 
-@when("caller {caller} asks urgently with {left:d} ms left")
-def when_urgent(context, caller, left):
+@when("caller {caller} sends an urgent statement with {remaining:d} ms left")
+def when_urgent(context, caller, remaining):
     load = context.load
     load.count += 1
     ticket = Ticket(
         caller=caller,
-        deadline=load.now + left / 1000,
+        deadline=load.now + remaining / 1000,
         urgency=-1,
         item=load.count,
     )
     load.take(load.admission.submit(ticket, load.now))
 
 
-@given("connections that may be {limit:d} at a pace of {pace:d} ms")
+@given("at most {limit:d} connections with one opened per {pace:d} ms")
 def given_connections(context, limit, pace):
     timing = ConnectionTiming(
         open_interval=pace / 1000, idle_timeout=9.0, scarce_idle_timeout=0.3
@@ -452,8 +453,8 @@
 
 
 @then(
-    "a statement of {at:f} with {limit:d} s is refused at once, "
-    "to come back after {retry:f} s"
+    "a statement of {at:f} with {limit:d} s is refused at once, with a "
+    "retry after {retry:f} s"
 )
 def then_at_once_refused(context, at, limit, retry):
     waits, after = change_wait(
@@ -471,21 +472,21 @@
 
 
 @then(
-    "{count:d} sessions at rest are closed evenly over the first "
+    "{count:d} idle sessions are closed evenly over the first "
     "{seconds:f} s of {grace:d} s"
 )
 def then_evenly(context, count, seconds, grace):
-    left, elapsed, most = count, 0.0, 0
-    while left and elapsed < grace:
-        closed = disconnect_count(left, elapsed, grace, 0.05)
+    remaining, elapsed, most = count, 0.0, 0
+    while remaining and elapsed < grace:
+        closed = disconnect_count(remaining, elapsed, grace, 0.05)
         most = max(most, closed)
-        left -= closed
+        remaining -= closed
         elapsed += 0.05
-    assert left == 0 and elapsed <= seconds + 0.05, (left, elapsed)
+    assert remaining == 0 and elapsed <= seconds + 0.05, (remaining, elapsed)
     assert most <= 3, most
 
 
-@given("a change of primary that was settled at {at:f} and is not proven yet")
+@given("a primary that was recorded at {at:f} and is not proven yet")
 def given_settled(context, at):
     context.group = SessionGroup(name="g", primary_set_at=at)
 
@@ -514,7 +515,7 @@
     board.catalog = Catalog(version=1, routes=routes)
 
 
-@then("only the one is urgent, and {count:d} questions take less than 1 s")
+@then("only that one is urgent, and {count:d} lookups take less than 1 s")
 def then_urgent(context, count):
     board = context.board
     urgent = [r for r in board.catalog.routes.values() if board.is_urgent(r)]
@@ -531,7 +532,10 @@
     context.board = SessionBoard(vm="v", availability_zone="z")
 
 
-@then("an opening is held for {longest:f} s and then told to come back")
+@then(
+    "an opening waits for {longest:f} s and is then refused with a "
+    "retry time"
+)
 def then_held(context, longest):
     def judge(held):
         return judge_opening(
@@ -545,9 +549,7 @@
     assert refusal.retry_after_ms > 0
 
 
-@then(
-    "one for a group without a record is held for the first {first:f} s only"
-)
+@then("one for a group without a record waits for the first {first:f} s only")
 def then_first_only(context, first):
     route = Route(
         name="r",
@@ -579,7 +581,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Resting:
-    """What the choice looks at in a session."""
+    """A session, as far as the choice of sessions to disconnect needs it."""
 
     last_used_at: float
     is_idle: bool = True
@@ -588,20 +590,20 @@
 
 @given("sessions that were used {a:f}, {b:f} and {c:f} s ago")
 def given_used(context, a, b, c):
-    # In no order, as they are found.
+    # Not in the order of their last use.
     context.resting = [Resting(last_used_at=100.0 - ago) for ago in (c, a, b)]
 
 
 @then(
-    "a VM that has stopped for {elapsed:f} of {grace:d} s tells the first "
-    "two to go"
+    "a VM that has been stopping for {elapsed:f} of {grace:d} s "
+    "disconnects the first two"
 )
 def then_first_two(context, elapsed, grace):
     found = leavers(context, elapsed, grace)
     assert [s.last_used_at for s in found] == [95.0, 99.0], found
 
 
-@then("after {elapsed:f} s it tells all three")
+@then("after {elapsed:f} s it disconnects all three")
 def then_all_three(context, elapsed):
     assert len(leavers(context, elapsed, 6)) == 3
 
@@ -613,21 +615,22 @@
 
 
 @then(
-    "in {count:d} explored changes that any VM may end no proof outlives one"
+    "in {count:d} explored changes that any VM may finish no proof "
+    "outlives a promotion"
 )
 def then_finish(context, count):
     context.seen = session_worlds.explore_changes(count, finish=True)
     assert not context.seen.wrong, context.seen.wrong[:3]
 
 
-@then("the exploration has seen changes that were ended so")
+@then("the exploration has seen changes that other VMs finished")
 def then_seen_finish(context):
     assert context.seen.counts["finished"] > 50, context.seen.counts
 
 
 @then(
-    "an end stored over whatever is there is found in {count:d} explored "
-    "changes"
+    "finishing a change without a version check is found in {count:d} "
+    "explored changes"
 )
 def then_found_finish(context, count):
     seen = session_worlds.explore_changes(count, finish=True, fence=False)
@@ -689,7 +692,7 @@
     assert is_overdue(context.group, late)
 
 
-@then("of {many:d} VMs about {few:d} look after it, of {less:d} all do")
+@then("of {many:d} VMs about {few:d} check it, of {less:d} all do")
 def then_few(context, many, few, less):
     chance = random.Random(3)
     draws = [chance.getrandbits(32) for _ in range(many)]
@@ -698,7 +701,7 @@
     assert all(is_finisher(draw, less) for draw in draws)
 
 
-@given("a change whose intent names m2 and whose proofs are over")
+@given("a change whose intent names m2 and whose proofs are released")
 def given_over(context):
     change = Takeover(
         vm="v",
@@ -728,7 +731,7 @@
     )
 
 
-@when("m1 turns out to have more than m2")
+@when("m1 reports a later position than m2")
 def when_more(context):
     change = context.change
     change.on_report("m0", None, 0.15)
@@ -736,7 +739,7 @@
     context.actions = change.on_report("m2", replica(received=6), 0.15)
 
 
-@then("the record is stored with m1 before m1 is ordered")
+@then("the record is stored with m1 before m1 is promoted")
 def then_named(context):
     (action,) = context.actions
     assert isinstance(action, StoreRecord), action
--- a/features/steps/session_properties.py
+++ b/features/steps/session_properties.py
@@ -1,8 +1,8 @@
 """Properties of tokens and routing, over generated cases.
 
-Every check uses fixed seeds (`derandomize`), so that CI always runs the same
-cases. Models of a group are built freely: also with facts that contradict
-each other, as they do for moments in a running fleet.
+Every check uses fixed seeds (`derandomize`), so CI always runs the same cases.
+Groups are generated with any combination of facts, including contradictory
+ones, which occur for short times in a running fleet.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 def fixed(check: Callable[..., None]) -> Callable[[], None]:
-    """Run a check over 300 cases, always the same ones."""
+    """Run a check over the same 300 cases each time."""
     fixed_check: Any = settings(
         derandomize=True, max_examples=300, deadline=None, database=None
     )(check)
@@ -106,7 +106,7 @@
 
 
 def states(name: str, term: int) -> Any:
-    """Return facts about a target: half of them those of a good replica."""
+    """Return facts about a target; half of the cases are good replicas."""
     return st.one_of(good_states(name, term), any_states(name, term))
 
 
@@ -181,7 +181,7 @@
     found = codec.decode(token)
     assert found == session
     assert codec.encode(found) == token
-    # What another version of the program has signed must stay good.
+    # Tokens signed by another version of the program must stay valid.
     raw = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
     mac = hmac.digest(OLD_KEY.secret, raw[:-16], "sha256")
     assert raw[-16:] == mac[:16]
@@ -203,7 +203,7 @@
     other = alphabet[(alphabet.index(token[place]) + shift) % 64]
     changed = token[:place] + other + token[place + 1 :]
     found = codec.decode(changed)
-    # The last character has unused bits: it may stand for the same bytes.
+    # The last character has unused bits, so it may decode to the same bytes.
     assert isinstance(found, InvalidToken) or (
         place == len(token) - 1 and found == session
     )
--- a/features/steps/session_worlds.py
+++ b/features/steps/session_worlds.py
@@ -1,9 +1,10 @@
-"""Explored worlds: changes of primary and reads, with simulated time.
+"""Simulated changes of primary and reads, with simulated time.
 
 Each world has members with terms, a store with one record, VMs that take
-proofs in both ways, and one or two processes that lead a change at the same
-time. Questions and orders take time, are lost, and members start again. What
-must hold is checked at the moment at which a member begins to lead.
+proofs from the store and from targets, and one or two processes that lead a
+change at the same time. Requests take time or are lost, and members restart.
+The invariants are checked when a VM takes a proof and when a member becomes
+primary.
 """
 
 from __future__ import annotations
@@ -53,18 +54,19 @@
 __all__ = ["Seen", "explore_changes", "explore_reads"]
 
 NAMES = ("m0", "m1", "m2")
-PROMOTE = 0.6
-# What others wait before they take a lease of before the store's return, and
-# how long targets may disagree before their primary is replaced.
-LEASE = 3.0
-SETTLE_PATIENCE = 1.0
-# An order to promote arrives within this, or never, in seconds.
+PROMOTION_DURATION = 0.6
+# Seconds that other VMs wait before they take a lease that is older than the
+# restore, and seconds that targets may disagree before their primary is
+# replaced.
+LEASE_WAIT = 3.0
+DISAGREEMENT_TIMEOUT = 1.0
+# An order to promote arrives within this many seconds or never.
 ORDER_TIMEOUT = 0.6
 
 
 @dataclass
 class Seen:
-    """What an exploration came across."""
+    """What an exploration has found: violations and counts of events."""
 
     wrong: list[str] = field(default_factory=list)
     counts: Counter = field(default_factory=Counter)
@@ -72,31 +74,31 @@
 
 @dataclass
 class FakeMember:
-    """A member as far as a change sees it."""
+    """A target, as far as a change of primary depends on it."""
 
     name: str
     term: int = 1
-    held: int = 0
-    leads: bool = False
-    received: int = 5
-    up: bool = True
+    held_term: int = 0
+    is_primary: bool = False
+    received_index: int = 5
+    is_running: bool = True
 
     def report(self):
         return TargetReport(
-            is_primary=self.leads,
+            is_primary=self.is_primary,
             term=self.term,
             received_term=self.term,
-            received_index=self.received,
-            held_term=self.held,
+            received_index=self.received_index,
+            held_term=self.held_term,
         )
 
 
 class FakeVm:
-    """A VM: what it believes of the primary, and until when."""
+    """A VM: its record and its proof of the primary."""
 
     def __init__(self, world):
         self.reaches_store = True
-        # When the newest read of the store, its own or passed on, was sent.
+        # When the newest read of the store, own or relayed, was sent.
         self.read_at = -1e9
         board = SessionBoard(vm="vm", availability_zone="z")
         self.group = board.group("g")
@@ -119,7 +121,7 @@
 
 
 class Clock:
-    """What a record keeper needs of the reactor."""
+    """The part of the reactor that a record keeper needs."""
 
     def __init__(self, world):
         self.now = lambda: world.now
@@ -129,7 +131,14 @@
 
 
 class ChangeWorld:
-    """One world in which a primary is replaced."""
+    """One simulation in which a primary is replaced.
+
+    `wait` and `hold` are whether a change waits for proofs to expire and has a
+    term held. `finish` is whether other VMs finish changes, and `fence`
+    whether they check the version of the record when they do. With `relays`
+    VMs pass records on, with their age if `ages` is set. With `restores` the
+    store is restored from an older copy.
+    """
 
     def __init__(
         self,
@@ -156,7 +165,7 @@
         self.events = []
         self.order = itertools.count()
         self.members = {name: FakeMember(name) for name in NAMES}
-        self.members["m0"].leads = True
+        self.members["m0"].is_primary = True
         self.restores = restores
         self.era = 1
         self.revision = 1
@@ -168,99 +177,107 @@
         for vm in self.vms:
             vm.keeper.apply(self.record)
         self.changes = []
-        self.unsettled_at = None
+        self.store_restored_at = None
         self.ordered = 0
-        # When the lease passes from the first process that leads to another.
+        # When the lease passes from the first leader to the second one.
         self.lease_end = 1e9
 
-    def at(self, delay, act):
+    def schedule(self, delay, act):
         heapq.heappush(self.events, (self.now + delay, next(self.order), act))
 
     def run(self):
         for vm in self.vms:
-            self.at(self.random.uniform(0, 0.5), lambda vm=vm: self.prove(vm))
-        self.at(self.random.uniform(0.5, 2.0), self.fail)
-        self.at(2.0 + self.random.uniform(0, 1), lambda: self.lead(0))
+            self.schedule(
+                self.random.uniform(0, 0.5), lambda vm=vm: self.take_proof(vm)
+            )
+        self.schedule(self.random.uniform(0.5, 2.0), self.fail_primary)
+        self.schedule(
+            2.0 + self.random.uniform(0, 1), lambda: self.begin_as_leader(0)
+        )
         if self.random.random() < 0.5:
             self.lease_end = 2.0 + self.random.uniform(0.5, 4.0)
-            self.at(self.lease_end, lambda: self.lead(1))
-        self.at(self.random.uniform(2, 5), self.start_again)
+            self.schedule(self.lease_end, lambda: self.begin_as_leader(1))
+        self.schedule(self.random.uniform(2, 5), self.restart_replica)
         if self.restores:
-            self.at(self.random.uniform(1.0, 8.0), self.come_back)
+            self.schedule(self.random.uniform(1.0, 8.0), self.restore_store)
         if self.finish:
             for _ in range(2):
-                self.at(self.random.uniform(2.5, 3.5), self.look)
+                self.schedule(
+                    self.random.uniform(2.5, 3.5), self.check_overdue
+                )
         while self.events and self.now < 14.0:
             self.now, _order, act = heapq.heappop(self.events)
             act()
 
-    def fail(self):
-        """The primary goes away, or is only cut from some VMs."""
+    def fail_primary(self):
+        """The primary may fail, and some VMs lose access to the store."""
         draw = self.random.random()
         if draw < 0.5:
-            self.members["m0"].up = False
+            self.members["m0"].is_running = False
         for vm in self.vms:
             vm.reaches_store = self.random.random() < 0.5
 
-    def start_again(self):
-        """A replica starts anew and has forgotten the term that it held."""
+    def restart_replica(self):
+        """A replica restarts and loses the term that it held."""
         member = self.members[self.random.choice(("m1", "m2"))]
-        if not member.leads:
-            member.held = 0
+        if not member.is_primary:
+            member.held_term = 0
             self.seen.counts["started_again"] += 1
 
     # The store.
 
     def write(self, record):
-        """Take a record at the next revision; others get revisions too."""
+        """Store a record; other objects take revisions in between."""
         self.revision += self.random.randint(1, 3)
         version = version_of(era=self.era, revision=self.revision)
         self.record = dataclasses.replace(record, version=version)
         self.states.append(self.record)
 
-    def is_at(self, version):
-        """Tell whether a conditional update would be done."""
+    def is_stored_version(self, version):
+        """Return whether an update at this version would succeed."""
         return revision_of(version) == revision_of(self.record.version)
 
-    def come_back(self):
-        """Come back from a copy, at which some later records are lost."""
+    def restore_store(self):
+        """Restore the store from a copy that lacks some later records."""
         kept = self.random.randint(1, len(self.states))
         if kept < len(self.states):
             self.seen.counts["records_lost"] += 1
         self.states = self.states[:kept]
         self.era += 1
         revision = revision_of(self.states[-1].version)
-        # Of the copy, or of what others wrote since.
+        # The copy's revision, or one that writes of others have reached since.
         self.revision = self.random.randint(revision, self.revision)
         version = version_of(era=self.era, revision=revision)
         self.record = dataclasses.replace(self.states[-1], version=version)
-        self.unsettled_at = self.now
+        self.store_restored_at = self.now
         self.seen.counts["came_back"] += 1
         if self.lease_end > self.now:
             self.lease_end = min(
                 self.lease_end, self.now + self.random.uniform(0.0, 3.0)
             )
-            self.at(LEASE, lambda: self.settle(1))
-        self.at(self.random.uniform(0.0, 0.5), lambda: self.settle(0))
+            self.schedule(LEASE_WAIT, lambda: self.settle(1))
+        self.schedule(self.random.uniform(0.0, 0.5), lambda: self.settle(0))
 
-    def leads(self, number, seconds=0.0):
-        """Tell whether one of two VMs has the lease for so many seconds."""
+    def holds_lease(self, number, seconds=0.0):
+        """Return whether a leader has the lease for so many more seconds."""
         if number == 0:
             return self.now + seconds < self.lease_end
-        came_back = self.unsettled_at
-        waited = came_back is None or self.now >= came_back + LEASE
+        restored_at = self.store_restored_at
+        waited = restored_at is None or self.now >= restored_at + LEASE_WAIT
         return self.now >= self.lease_end and (
-            waited or self.lease_end < came_back
+            waited or self.lease_end < restored_at
         )
 
     def settle(self, number):
-        """Settle the record as the VM that leads, until it is settled."""
-        self.at(0.2, lambda: self.settle(number))
+        """Settle the record periodically, as the leader."""
+        self.schedule(0.2, lambda: self.settle(number))
         vm = self.vms[number]
-        if not self.leads(number):
+        if not self.holds_lease(number):
             return
         vm.keeper.apply(self.record)
-        if any(self.leads_by(c) and not c.is_over for c in self.changes):
+        if any(
+            self.is_led_by_leader(c) and not c.is_over for c in self.changes
+        ):
             return
         known, unsettled = vm.group.record, vm.group.unsettled
         if unsettled is None:
@@ -269,33 +286,35 @@
 
         def ask(name):
             member = self.members[name]
-            if not member.up:
+            if not member.is_running:
                 reports[name] = None
             elif self.random.random() < 0.9:
                 reports[name] = member.report()
 
         for name in NAMES:
-            self.at(
+            self.schedule(
                 self.random.uniform(0.001, 0.15), lambda name=name: ask(name)
             )
-        self.at(0.16, lambda: self.judge_settled(number, known, reports))
+        self.schedule(
+            0.16, lambda: self.settle_or_replace(number, known, reports)
+        )
 
-    def judge_settled(self, number, known, reports):
+    def settle_or_replace(self, number, known, reports):
         group = self.vms[number].group
         unsettled = group.unsettled
         if unsettled is None or group.record is not known:
             return
-        if not self.leads(number) or any(
-            self.leads_by(c) and not c.is_over for c in self.changes
+        if not self.holds_lease(number) or any(
+            self.is_led_by_leader(c) and not c.is_over for c in self.changes
         ):
             return
         record = settled_record(known, unsettled, NAMES, reports)
         if record is not None:
-            if self.is_at(record.version):
+            if self.is_stored_version(record.version):
                 self.write(record)
                 self.seen.counts["settled"] += 1
             return
-        if self.now < self.unsettled_at + SETTLE_PATIENCE:
+        if self.now < self.store_restored_at + DISAGREEMENT_TIMEOUT:
             return
         self.seen.counts["replaced_unsettled"] += 1
         self.begin(
@@ -304,31 +323,33 @@
             latest_known_record(known, unsettled, reports),
         )
 
-    def leads_by(self, change):
-        return self.leads(int(change.vm[2:]))
+    def is_led_by_leader(self, change):
+        return self.holds_lease(int(change.vm[2:]))
 
     # VMs.
 
-    def prove(self, vm):
-        self.at(self.random.uniform(0.2, 0.9), lambda: self.prove(vm))
+    def take_proof(self, vm):
+        self.schedule(
+            self.random.uniform(0.2, 0.9), lambda: self.take_proof(vm)
+        )
         asked_at = self.now
         if vm.group.unsettled is not None:
             self.ask_targets(vm, asked_at)
         way = self.random.uniform(0.001, 0.3)
         if self.relays and self.random.random() < 0.5:
-            self.at(way, lambda: self.read_relay(vm, asked_at))
+            self.schedule(way, lambda: self.read_relay(vm, asked_at))
         elif vm.reaches_store:
-            self.at(way, lambda: self.read_store(vm, asked_at))
+            self.schedule(way, lambda: self.read_store(vm, asked_at))
         else:
             self.ask_targets(vm, asked_at)
 
     def read_store(self, vm, asked_at):
         record = self.record
         back = self.random.uniform(0.001, 0.3)
-        self.at(back, lambda: self.take(vm, record, asked_at))
+        self.schedule(back, lambda: self.apply_record(vm, record, asked_at))
 
     def read_relay(self, vm, asked_at):
-        """Another VM passes on what it has, with the age of its read."""
+        """Another VM passes its records on, with the age of its read."""
         relay = self.random.choice(
             [each for each in self.vms if each is not vm]
         )
@@ -336,14 +357,14 @@
         age = max(0.0, self.now - relay.read_at) if self.ages else 0.0
         back = self.random.uniform(0.001, 0.3)
         self.seen.counts["proof_passed_on"] += 1
-        self.at(back, lambda: self.take_rows(vm, rows, asked_at - age))
+        self.schedule(back, lambda: self.apply_rows(vm, rows, asked_at - age))
 
-    def take_rows(self, vm, rows, asked_at):
+    def apply_rows(self, vm, rows, asked_at):
         vm.read_at = max(vm.read_at, asked_at)
         vm.keeper.apply_relayed(rows, asked_at, self.now)
         self.check_proof(vm)
 
-    def take(self, vm, record, asked_at):
+    def apply_record(self, vm, record, asked_at):
         vm.read_at = max(vm.read_at, asked_at)
         vm.keeper.apply(record, asked_at)
         if record.change is None:
@@ -351,17 +372,17 @@
         self.check_proof(vm)
 
     def check_proof(self, vm):
-        """A proof must not be of one beside which a later primary leads."""
+        """Check that no primary of a later term exists beside a proven one."""
         record = vm.record
         if record.change is not None or not vm.proof.covers(self.now):
             return
         for name, member in self.members.items():
-            if name == record.primary or not member.leads:
+            if name == record.primary or not member.is_primary:
                 continue
             if member.term > record.term:
                 self.seen.wrong.append(
                     f"{record.primary} of term {record.term} was proven "
-                    f"while {name} led term {member.term}"
+                    f"while {name} was primary of term {member.term}"
                 )
 
     def ask_targets(self, vm, asked_at):
@@ -371,13 +392,13 @@
 
         def ask(name):
             member = self.members[name]
-            if not member.up:
+            if not member.is_running:
                 reports[name] = None
             elif self.random.random() < 0.9:
                 reports[name] = member.report()
 
         for name in others:
-            self.at(
+            self.schedule(
                 self.random.uniform(0.001, 0.3), lambda name=name: ask(name)
             )
 
@@ -389,12 +410,12 @@
                 self.seen.counts["proof_by_targets"] += 1
                 self.check_proof(vm)
 
-        self.at(0.4, judge)
+        self.schedule(0.4, judge)
 
-    # VMs that look after a change whose leader may have gone.
+    # VMs that finish a change whose leader may have failed.
 
-    def look(self):
-        self.at(self.random.uniform(0.2, 0.6), self.look)
+    def check_overdue(self):
+        self.schedule(self.random.uniform(0.2, 0.6), self.check_overdue)
         record = self.record
         if record.change is None:
             return
@@ -402,43 +423,46 @@
 
         def ask(name):
             member = self.members[name]
-            if member.up and self.random.random() < 0.9:
+            if member.is_running and self.random.random() < 0.9:
                 reports[name] = member.report()
 
         for name in NAMES:
             if name != record.primary:
-                self.at(
+                self.schedule(
                     self.random.uniform(0.001, 0.3),
                     lambda name=name: ask(name),
                 )
-        self.at(0.4, lambda: self.finish_by(record, reports))
+        self.schedule(0.4, lambda: self.finish_change(record, reports))
 
-    def finish_by(self, record, reports):
+    def finish_change(self, record, reports):
         finished = finished_record(record, reports)
         if finished is None:
             return
-        # The update is under way for a while, also longer than others take.
-        self.at(
-            self.random.uniform(0.001, 1.0), lambda: self.store_end(finished)
+        # The update may be in flight for longer than those of other VMs.
+        self.schedule(
+            self.random.uniform(0.001, 1.0),
+            lambda: self.store_finished(finished),
         )
 
-    def store_end(self, finished):
-        if self.fence and not self.is_at(finished.version):
+    def store_finished(self, finished):
+        if self.fence and not self.is_stored_version(finished.version):
             return
         self.seen.counts["finished"] += 1
         self.write(finished)
 
     # Changes.
 
-    def lead(self, number):
-        if not self.leads(number) or not self.record.is_current:
+    def begin_as_leader(self, number):
+        if not self.holds_lease(number) or not self.record.is_current:
             return
         cause = TakeoverCause.UNREACHED if number else TakeoverCause.GONE
         self.begin(number, cause, self.record)
 
     def begin(self, number, cause, record):
-        """Begin a change; a VM leads one at a time."""
-        if any(self.leads_by(c) and not c.is_over for c in self.changes):
+        """Begin a change; a VM leads at most one at a time."""
+        if any(
+            self.is_led_by_leader(c) and not c.is_over for c in self.changes
+        ):
             return
         change = Takeover(
             vm=f"vm{number}",
@@ -450,30 +474,32 @@
         self.changes.append(change)
         if len(self.changes) == 2:
             self.seen.counts["by_two"] += 1
-        self.act(change, change.begin(self.now))
+        self.execute(change, change.begin(self.now))
         self.tick(change)
 
     def tick(self, change):
         if change.is_over:
             return
-        self.at(0.1, lambda: self.tick(change))
+        self.schedule(0.1, lambda: self.tick(change))
         if not self.wait and change.phase is TakeoverPhase.WAIT:
-            self.act(change, change.on_proofs_released(self.now))
+            self.execute(change, change.on_proofs_released(self.now))
             return
-        self.act(change, change.tick(self.now))
+        self.execute(change, change.tick(self.now))
 
-    def may_act(self, change, seconds=0.0):
-        """Tell whether the lease is the change's for so many seconds."""
-        return self.leads(int(change.vm[2:]), seconds)
+    def may_lead(self, change, seconds=0.0):
+        """Return whether the change's leader has the lease for that long."""
+        return self.holds_lease(int(change.vm[2:]), seconds)
 
-    def act(self, change, actions):
-        if not self.may_act(change):
+    def execute(self, change, actions):
+        if not self.may_lead(change):
             return
         for action in actions:
             ordering = isinstance(action, OrderPromotion)
-            if ordering and not self.may_act(change, ORDER_TIMEOUT):
+            if ordering and not self.may_lead(change, ORDER_TIMEOUT):
                 result = PromotionResult.NOT_SENT
-                self.act(change, change.on_promotion_result(result, self.now))
+                self.execute(
+                    change, change.on_promotion_result(result, self.now)
+                )
                 continue
             if self.random.random() < 0.05:
                 self.seen.counts["lost"] += 1
@@ -483,103 +509,109 @@
             way = self.random.uniform(0.001, 0.15)
             if ordering:
                 way = self.random.uniform(0.001, ORDER_TIMEOUT)
-            self.at(way, lambda a=action: self.carry_out(change, a))
+            self.schedule(way, lambda a=action: self.handle_action(change, a))
 
-    def carry_out(self, change, action):
+    def handle_action(self, change, action):
         match action:
             case SendToTarget(target=name, order=order):
-                self.tell(change, name, order)
+                self.send_order(change, name, order)
             case StoreRecord():
                 self.store(change, action, answered=True)
             case ReadRecord():
-                self.act(change, change.on_record_read(self.record, self.now))
+                self.execute(
+                    change, change.on_record_read(self.record, self.now)
+                )
             case OrderPromotion(target=name):
                 self.promote(change, name)
 
-    def tell(self, change, name, order):
+    def send_order(self, change, name, order):
         member = self.members[name]
-        if not member.up:
-            self.act(change, change.on_report(name, None, self.now))
+        if not member.is_running:
+            self.execute(change, change.on_report(name, None, self.now))
             return
         match order:
             case HoldTerm(term=term):
-                newest = max(member.term, member.held)
-                if not member.leads and term > newest and self.hold:
-                    member.held = term
+                newest = max(member.term, member.held_term)
+                if not member.is_primary and term > newest and self.hold:
+                    member.held_term = term
                 report = member.report()
                 if not self.hold:
                     report = TargetReport(
                         is_primary=False,
                         term=member.term,
                         received_term=member.term,
-                        received_index=member.received,
+                        received_index=member.received_index,
                         held_term=term,
                     )
             case AskReport():
                 report = member.report()
                 if not self.hold and name == change.term_holder:
                     report = TargetReport(
-                        is_primary=member.leads,
+                        is_primary=member.is_primary,
                         term=member.term,
                         received_term=member.term,
-                        received_index=member.received,
+                        received_index=member.received_index,
                         held_term=change.term,
                     )
         back = self.random.uniform(0.001, 0.15)
-        self.at(
+        self.schedule(
             back,
-            lambda: self.act(change, change.on_report(name, report, self.now)),
+            lambda: self.execute(
+                change, change.on_report(name, report, self.now)
+            ),
         )
 
     def store(self, change, action, *, answered):
         wanted = action.record
-        stored = self.is_at(wanted.version)
+        stored = self.is_stored_version(wanted.version)
         if stored:
             self.write(wanted)
         if not answered or stored and era_of(wanted.version) != self.era:
-            self.act(change, change.on_store_unanswered(self.now))
+            self.execute(change, change.on_store_unanswered(self.now))
         elif stored:
             version = self.record.version
-            self.act(change, change.on_stored(version, self.now))
+            self.execute(change, change.on_stored(version, self.now))
         else:
-            self.act(change, change.on_record_read(self.record, self.now))
+            self.execute(change, change.on_record_read(self.record, self.now))
 
     def promote(self, change, name):
         member = self.members[name]
-        if not member.up:
+        if not member.is_running:
             result = PromotionResult.REFUSED
-            self.act(change, change.on_promotion_result(result, self.now))
+            self.execute(change, change.on_promotion_result(result, self.now))
             return
         self.ordered += 1
-        self.at(PROMOTE, lambda: self.led(name))
+        self.schedule(
+            PROMOTION_DURATION, lambda: self.complete_promotion(name)
+        )
         result = PromotionResult.ACCEPTED
         if self.random.random() < 0.2:
             result = PromotionResult.UNKNOWN
-        self.act(change, change.on_promotion_result(result, self.now))
+        self.execute(change, change.on_promotion_result(result, self.now))
 
-    def led(self, name):
+    def complete_promotion(self, name):
         self.ordered -= 1
         member = self.members[name]
         newest = max(m.term for m in self.members.values())
-        if member.leads and member.term == newest:
+        if member.is_primary and member.term == newest:
             return
         self.seen.counts["promoted"] += 1
         for number, vm in enumerate(self.vms):
             uses_other = vm.record.primary != name
             if uses_other and vm.record.change is None:
                 if vm.proof.covers(self.now):
-                    left = vm.proof.asked_at + PROOF_LIFETIME - self.now
+                    remaining = vm.proof.asked_at + PROOF_LIFETIME - self.now
                     self.seen.wrong.append(
                         f"vm{number} uses {vm.record.primary} for "
-                        f"{left:.3f} s after {name} leads"
+                        f"{remaining:.3f} s after {name} is primary"
                     )
         member.term = newest + 1
-        member.leads = True
+        member.is_primary = True
         for other in self.members.values():
-            other.held = 0
+            other.held_term = 0
             if other is not member and other.name != "m0":
                 other.term = member.term
-                other.leads = False
+                other.is_primary = False
 
 
 def explore_changes(
@@ -593,7 +625,7 @@
     ages=True,
     restores=False,
 ):
-    """Run so many worlds, each with a seed of its own."""
+    """Run `count` simulations of changes, each with its own seed."""
     seen = Seen()
     for seed in range(count):
         world = ChangeWorld(
@@ -612,7 +644,7 @@
 
 
 class ReadWorld:
-    """One group whose primary commits while replicas apply late."""
+    """One group whose primary commits while its replicas lag."""
 
     def __init__(self, seed, seen):
         self.random = random.Random(seed)
@@ -705,7 +737,7 @@
 
 
 def explore_reads(count):
-    """Run so many histories."""
+    """Run `count` simulations of reads, each with its own seed."""
     seen = Seen()
     for seed in range(count):
         ReadWorld(seed, seen).run()
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the client of a store whose era rises."""
+"""Steps for the client of a store that changes its era."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SimReactor:
-    """Calls what is due as its clock is moved."""
+    """Runs due callbacks when its clock is advanced."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -52,7 +52,7 @@
 
 
 class SimStore:
-    """Answers calls at once by what the scenario sets."""
+    """Answers calls at once with the replies that the scenario sets."""
 
     def __init__(self, era: int) -> None:
         self.era = era
@@ -90,23 +90,23 @@
 
 
 def shown(name: str, revision: int, value: Any) -> dict[str, Any]:
-    """Return an object as the store shows it."""
+    """Return an object as the store encodes it."""
     return {"meta": {"name": name, "revision": revision}, "spec": value}
 
 
 def page(*items: Any, more: bool = False) -> dict[str, Any]:
-    """Return a part of a list."""
+    """Return one page of a list."""
     return {"items": list(items), "hasMore": more, "currentRev": 9}
 
 
 def read_once(store: SimStore) -> None:
-    """Let the client hear of the era."""
+    """Make one call, from which the client learns the era."""
     store.replies.append((200, page()))
     with_client(store, lambda: store.platform.list(KIND, "x", lambda _: None))
 
 
 def with_client(store: SimStore, act: Callable[[], None]) -> None:
-    """Make calls, with the stand-in in place of the HTTP client."""
+    """Make calls with the store in place of the HTTP client."""
     with mock.patch.object(platform_client, "HttpClient", store._client):
         act()
         store.reactor.run(0.01)
@@ -137,14 +137,14 @@
     )
 
 
-@then("the object is read instead, and shown as a conflict")
+@then("the object is read instead, and returned as a conflict")
 def then_conflict(context: Any) -> None:
     assert context.store.calls == [f"GET /api/objects/{KIND}/{NAME}"]
     version = version_of(era=2, revision=7)
     assert context.results == [Conflict(version=version, value="theirs")]
 
 
-@when("it comes back in era 2 while an update is on its way")
+@when("it is restored in era 2 while an update is in flight")
 def when_on_way(context: Any) -> None:
     store = context.store
     store.era = 2
@@ -152,7 +152,7 @@
     put(context, store)
 
 
-@then("the update may have been done or not")
+@then("the outcome of the update is unknown")
 def then_unsure(context: Any) -> None:
     (result,) = context.results
     assert isinstance(result, Unavailable) and result.maybe_applied, result
@@ -169,7 +169,7 @@
     )
 
 
-@when("it comes back in era 2 while a watch waits")
+@when("it is restored in era 2 while a watch waits")
 def when_watching(context: Any) -> None:
     store = context.store
     store.era = 2
@@ -190,7 +190,7 @@
     assert context.store.calls == before
 
 
-@when("it comes back in era 2 between two pages of a list")
+@when("it is restored in era 2 between two pages of a list")
 def when_between(context: Any) -> None:
     store = context.store
     first = page(shown("a", 1, 1), more=True)
@@ -208,14 +208,14 @@
     )
 
 
-@then("the list tells nothing")
+@then("the list call fails")
 def then_no_list(context: Any) -> None:
     (result,) = context.results
     assert isinstance(result, Unavailable), result
 
 
 class NoHistory:
-    """A platform that lists, and has the history of no watch."""
+    """A platform that answers lists but has no history for any watch."""
 
     def __init__(self, reactor: SimReactor) -> None:
         self.reactor = reactor
@@ -233,7 +233,7 @@
         self.reactor.call_later(0.004, lambda: on_result(HistoryLost()))
 
 
-@given("a store that has the history of no watch")
+@given("a store that has no history for any watch")
 def given_no_history(context: Any) -> None:
     context.reactor = SimReactor()
     context.platform = NoHistory(context.reactor)
@@ -251,6 +251,6 @@
     context.reactor.run(seconds)
 
 
-@then("at most {most:d} lists were asked for")
+@then("at most {most:d} lists were requested")
 def then_few_lists(context: Any, most: int) -> None:
     assert 1 <= context.platform.lists <= most, context.platform.lists
--- a/features/steps/store_restore_steps.py
+++ b/features/steps/store_restore_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a store that comes back from an older copy."""
+"""Steps for a store that is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 AWAY_SECONDS = 0.8
 REWRITTEN_AFTER = 0.3
 ADDED = "added-database"
-# How long to look for the added database in vain.
+# Seconds after which a VM has failed to open the added database.
 OPEN_PATIENCE = 6.0
 
 
@@ -55,7 +55,7 @@
 
 
 async def _look(stage: Any, vm: Any, began: float) -> None:
-    """Open the added database again and again until a VM knows it."""
+    """Retry opening the added database until a VM knows it."""
     while time.monotonic() - began < OPEN_PATIENCE:
         if await _opens(vm.callers):
             stage.opened_after[vm.name] = time.monotonic() - began
@@ -86,7 +86,7 @@
     assert not late, late
 
 
-@then("no VM has put an older configuration in force")
+@then("no VM has activated an older configuration")
 def then_never_older(context: Any) -> None:
     for vm in context.stage.fleet.vms:
         text = context.stage.fleet.read_log(vm)
@@ -108,7 +108,8 @@
 
 
 @then(
-    "in {count:d} explored returns of the store no proof outlives a promotion"
+    "in {count:d} explored restores of the store no proof outlives a "
+    "promotion"
 )
 def then_no_proof(context: Any, count: int) -> None:
     context.seen = session_worlds.explore_changes(
@@ -124,7 +125,10 @@
         assert counts[kind] > 100, counts
 
 
-@then("in {count:d} explored returns a restored record that proves is found")
+@then(
+    "in {count:d} explored restores a restored record used as a proof "
+    "is found"
+)
 def then_found(context: Any, count: int) -> None:
     with mock.patch.object(PrimaryRecord, "is_current", True):
         seen = session_worlds.explore_changes(
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the list of VMs where the store comes back older."""
+"""Steps for the lists of VMs and targets after a restore of the store."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class SimTimer:
-    """A callback that runs once, unless it is cancelled."""
+    """A callback that runs once unless it is cancelled."""
 
     def __init__(self, when: float, callback: Callable[[], None]) -> None:
         self.when = when
@@ -42,7 +42,7 @@
 
 
 class SimReactor:
-    """Calls what is due as its clock is moved."""
+    """Runs due callbacks when its clock is advanced."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -73,7 +73,7 @@
 
 
 class SimPlatform:
-    """Takes entries in its present era while it answers."""
+    """A store that accepts entries in its current era while it answers."""
 
     def __init__(self) -> None:
         self.era = 0
@@ -84,7 +84,7 @@
         self.puts = 0
         self.answer_from: int | None = None
 
-    def come_back(self) -> None:
+    def restore(self) -> None:
         self.era += 1
         self.restored_at = self.now()
         for callback in self.on_restored:
@@ -116,7 +116,7 @@
         on_result(Changes(objects=(found,), revision=9))
 
 
-@given("a VM that has filed its entry")
+@given("a VM that has stored its entry")
 def given_filed(context: Any) -> None:
     context.reactor, context.platform = SimReactor(), SimPlatform()
     context.platform.now = context.reactor.now
@@ -128,10 +128,10 @@
     assert context.registry.can_take_proofs(context.reactor.now())
 
 
-@when("the store comes back and does not answer")
+@when("the store is restored and does not answer")
 def when_silent(context: Any) -> None:
     context.platform.answers = False
-    context.platform.come_back()
+    context.platform.restore()
     context.reactor.run(1.0)
 
 
@@ -140,7 +140,7 @@
     assert not context.registry.can_take_proofs(context.reactor.now())
 
 
-@when("the store takes its entry")
+@when("the store accepts its entry")
 def when_taken(context: Any) -> None:
     context.platform.answers = True
     context.reactor.run(1.0)
@@ -151,7 +151,7 @@
     assert context.registry.can_take_proofs(context.reactor.now())
 
 
-@given("a VM whose entry is taken as the store comes back")
+@given("a VM whose entry is accepted just before the store is restored")
 def given_crossed(context: Any) -> None:
     context.reactor, context.platform = SimReactor(), SimPlatform()
     context.platform.era = 1
@@ -162,7 +162,7 @@
     context.registry.start(lambda: None)
 
 
-@then("it files its entry once more before it takes a proof")
+@then("it stores its entry again before it takes a proof")
 def then_again(context: Any) -> None:
     registry, reactor = context.registry, context.reactor
     assert not registry.can_take_proofs(reactor.now())
@@ -172,7 +172,7 @@
 
 
 class SimPeers:
-    """Another VM that lets go at once."""
+    """Another VM that releases its proof at once."""
 
     def __init__(self) -> None:
         self.told = 0
@@ -190,13 +190,13 @@
 
 
 class SimRecords:
-    """Takes every record."""
+    """Accepts every record."""
 
     def apply(self, record: PrimaryRecord) -> None:
         pass
 
 
-@given("a VM that leads and 1 listed VM that lets go at once")
+@given("a leader and 1 listed VM that releases its proof at once")
 def given_leads(context: Any) -> None:
     given_filed(context)
     context.peers = SimPeers()
@@ -210,7 +210,7 @@
     )
 
 
-@when("it asks all to let go of a primary")
+@when("it asks all VMs to release their proof of a primary")
 def when_asked(context: Any) -> None:
     context.released = []
     context.peers.told = 0
@@ -224,19 +224,19 @@
     context.reactor.run(0.5)
 
 
-@when("the store has come back {seconds:d} s ago and it asks again")
+@when("the store was restored {seconds:d} s ago and it asks again")
 def when_returned(context: Any, seconds: int) -> None:
-    context.platform.come_back()
+    context.platform.restore()
     context.reactor.run(seconds)
     when_asked(context)
 
 
-@then("all have let go")
+@then("it learns that all have released their proof")
 def then_released(context: Any) -> None:
     assert context.released, context.peers.told
 
 
-@then("it does not hear that all have let go, but has told the VM")
+@then("it does not learn of a release, but has sent the record to the VM")
 def then_told(context: Any) -> None:
     assert not context.released
     assert context.peers.told == 1
@@ -262,8 +262,8 @@
         on_result(Changes(objects=(found,), revision=9))
 
 
-def read_listed(found: Found) -> ListedTarget:
-    """Read an entry that only says whether its target leaves."""
+def decode_listed(found: Found) -> ListedTarget:
+    """Decode an entry that only has whether its target is leaving."""
     target = Target(name="m0", address="a:1", availability_zone="z", site="z")
     return ListedTarget(target=target, group="g", leaving=found.value)
 
@@ -280,7 +280,7 @@
         platform=context.platform,
         pools=unused,
         kind="servers",
-        decode_target=read_listed,
+        decode_target=decode_listed,
         leaving_timeout=7.0,
         zone_holders=unused,
     )
@@ -289,26 +289,26 @@
     context.usable_until = context.group.targets["m0"].usable_until
 
 
-@when("the store comes back and shows the target as ready")
+@when("the store is restored and lists the target as ready")
 def when_ready(context: Any) -> None:
     context.platform.leaving = False
     context.platform.lacks = True
     context.reactor.run(2.0)
 
 
-@then("the target still leaves, by the time it had")
+@then("the target is still leaving, with the same deadline")
 def then_leaving(context: Any) -> None:
     news = context.group.targets["m0"]
     assert news.leaving and news.usable_until == context.usable_until, news
     assert all(each.leaving for each in context.keeper.listed)
 
 
-@when("the store still shows the target as ready {seconds:d} s later")
+@when("the store still lists the target as ready {seconds:d} s later")
 def when_later(context: Any, seconds: int) -> None:
     context.platform.lacks = False
     context.reactor.run(seconds)
 
 
-@then("the target leaves no more")
+@then("the target is no longer leaving")
 def then_stays(context: Any) -> None:
     assert not context.group.targets["m0"].leaving
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -1,4 +1,4 @@
-"""Steps for targets without a word: a pool under a clock of its own."""
+"""Steps for unresponsive targets: a pool with a simulated clock."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 class FakeClock:
-    """What a pool needs of the reactor, with time that is only counted."""
+    """The part of the reactor that a pool needs, with simulated time."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -93,7 +93,7 @@
 
 
 class FakeLink:
-    """A connection that stands until it is closed."""
+    """A connection that stays open until it is closed."""
 
     usable = True
 
@@ -102,7 +102,7 @@
 
 
 class FakeDialer:
-    """Opens connections, or lets openings hang while `answers` is false."""
+    """Opens connections; attempts hang while `answers` is false."""
 
     def __init__(self, clock: FakeClock, *, answers: bool) -> None:
         self.clock = clock
@@ -111,7 +111,7 @@
         self.refuses = False
 
     def behave(self, manner: str) -> None:
-        """From now on hang, refuse, have no place left, or answer."""
+        """Set the behaviour: hang, refuse, have no free connection, answer."""
         self.refuses = manner == "refuses"
         self.places = 0 if manner == "full" else 1000
         self.answers = manner != "hangs"
@@ -145,7 +145,7 @@
 
 
 class World:
-    """A pool, its target and what became of each statement."""
+    """A pool, its target and the outcome of each statement."""
 
     def __init__(self, *, answers: bool) -> None:
         self.clock = FakeClock()
@@ -175,10 +175,10 @@
         self.pool.tick()
         self.clock.call_later(TICK, self._tick)
 
-    def ask_every(self, step: float, until: float, left: float) -> None:
-        """Ask from now on, each time for a statement of so many seconds."""
+    def ask_every(self, step: float, until: float, limit: float) -> None:
+        """Request a statement every `step` seconds until `until`."""
         while self.clock.now() <= until:
-            self.ask(left)
+            self.ask(limit)
             self.clock.run_until(self.clock.now() + step)
 
     def ask(self, seconds: float) -> int:
@@ -203,7 +203,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Resting:
-    """A connection at rest since `last_used_at`."""
+    """A connection that is idle since `last_used_at`."""
 
     last_used_at: float
     last_response_at: float = 0.0
@@ -218,15 +218,16 @@
 
 
 @when(
-    "a statement with {left:g} s is asked for every {step:g} s until {end:g}"
+    "a statement with {limit:g} s is asked for every {step:g} s until {end:g}"
 )
-def when_asked(context: Any, left: float, step: float, end: float) -> None:
+def when_asked(context: Any, limit: float, step: float, end: float) -> None:
     world = context.world
-    world.ask_every(step, end, left)
+    world.ask_every(step, end, limit)
 
 
 @when(
-    "the target answers from {back:g} on, with no place left before {free:g}"
+    "the target answers from {back:g} on, with no free connection "
+    "before {free:g}"
 )
 def when_back_and_full(context: Any, back: float, free: float) -> None:
     world = context.world
@@ -285,10 +286,10 @@
     check()
 
 
-@when("{count:d} statements with {left:g} s are asked for at once")
-def when_many(context: Any, count: int, left: float) -> None:
+@when("{count:d} statements with {remaining:g} s are asked for at once")
+def when_many(context: Any, count: int, remaining: float) -> None:
     for _ in range(count):
-        context.world.ask(left)
+        context.world.ask(remaining)
 
 
 @then("at {at:g} all of them are {how}")
@@ -300,7 +301,7 @@
     assert len(world.ended) == next(world.numbers)
 
 
-@when("the target is asked for its report by one who leads")
+@when("the leader asks the target for its report")
 def when_reported(context: Any) -> None:
     world = context.world
     group = SessionGroup(name="g")
@@ -323,7 +324,7 @@
     assert context.reports == [NoReport(busy=True)], context.reports
 
 
-@when("the target falls silent at {at:g} and a statement is asked for")
+@when("the target stops answering at {at:g} and a statement is requested")
 def when_silent(context: Any, at: float) -> None:
     world = context.world
     world.clock.run_until(at)
@@ -331,7 +332,7 @@
     world.ask(0.8)
 
 
-@then("at {at:g} it counts as without a word since {since:g}")
+@then("at {at:g} it counts as unresponsive since {since:g}")
 def then_since(context: Any, at: float, since: float) -> None:
     world = context.world
     world.clock.run_until(at)
@@ -339,13 +340,13 @@
     assert found is not None and abs(found - since) < 1e-6, found
 
 
-@then("at {at:g} it does not count as without a word")
+@then("at {at:g} it does not count as unresponsive")
 def then_heard(context: Any, at: float) -> None:
     context.world.clock.run_until(at)
     assert context.world.pool.unanswered_since is None
 
 
-@then("a process that takes the lead at {at:g} replaces its primary at once")
+@then("a VM that becomes the leader at {at:g} replaces its primary at once")
 def then_replaced(context: Any, at: float) -> None:
     pool = context.world.pool
     group = SessionGroup(name="g")
@@ -358,7 +359,7 @@
     assert replacement_cause(group, PrimaryHealth(), at) is None
 
 
-@given("five connections at rest of which {kept:d} may rest for {idle:g} s")
+@given("five idle connections of which {kept:d} may stay idle for {idle:g} s")
 def given_resting(context: Any, kept: int, idle: float) -> None:
     timing = ConnectionTiming(spare_idle_timeout=0.1)
     context.connections = ConnectionTracker[Resting](timing=timing, limit=8)
@@ -392,7 +393,7 @@
     context.keeper.on_read(at, at, _held(4))
 
 
-@when("it notices version {version:d} by the way at {at:g}")
+@when("it observes version {version:d} at {at:g}")
 def when_noticed(context: Any, version: int, at: float) -> None:
     context.keeper.on_observed(at, _held(version))
 
@@ -407,7 +408,7 @@
         if isinstance(action, ReadLease):
             # The store does not answer.
             keeper.on_no_answer(now, now, action)
-    # It looks at the store every 0.2 s while that does not answer.
+    # It reads the store every 0.2 s while the store does not answer.
     assert at - 0.01 <= now <= at + 0.2, now
 
 
@@ -428,13 +429,14 @@
         context.times.record_answer(seconds)
 
 
-@then("the next is waited for {seconds:g} s")
+@then("the next call has a timeout of {seconds:g} s")
 def then_waited(context: Any, seconds: float) -> None:
     assert context.times.timeout(MOST) == seconds
 
 
 @then(
-    "after one, two and three lost ones for {one:g}, {two:g} and {three:g} s"
+    "after one, two and three timeouts it has {one:g}, {two:g} and "
+    "{three:g} s"
 )
 def then_lost(context: Any, one: float, two: float, three: float) -> None:
     for seconds in (one, two, three):
@@ -454,12 +456,15 @@
             context.times.record_timeout()
 
 
-@then("the second call is answered and none of the next 20 is given up")
+@then("the second call is answered and none of the next 20 times out")
 def then_adapted(context: Any) -> None:
     assert context.given_up == [True, False] + [False] * 20
 
 
-@then("{count:d} quick answers later the next is waited for {seconds:g} s")
+@then(
+    "{count:d} quick answers later the next call has a timeout of "
+    "{seconds:g} s"
+)
 def then_quick(context: Any, count: int, seconds: float) -> None:
     for _ in range(count):
         context.times.record_answer(0.004)
@@ -467,7 +472,7 @@
 
 
 class TimedHttp:
-    """Answers each path after its own time, if that is waited for."""
+    """Answers each path after its own time, or times out before."""
 
     def __init__(self, clock: FakeClock, asked: list[tuple[str, float]]):
         self.clock, self.asked = clock, asked
@@ -506,7 +511,7 @@
             ),
             dialect=StoreDialect(),
         )
-        # Lanes make their connections with their first call.
+        # A lane creates its HTTP client with its first call.
         for purpose in ("records", "catalog"):
             context.client._lane(purpose)
     for _ in range(8):
@@ -520,7 +525,7 @@
     context.client.list("config", "catalog", context.got.append)
 
 
-@then("it is there after {seconds:g} s and was asked for once")
+@then("it has arrived after {seconds:g} s with one request")
 def then_there(context: Any, seconds: float) -> None:
     context.clock.run_until(context.clock.now() + seconds)
     assert [type(result).__name__ for result in context.got] == ["Changes"]
@@ -528,7 +533,7 @@
     assert len(paths) == 1, paths
 
 
-@then("other calls are still given up after {seconds:g} s")
+@then("other calls still time out after {seconds:g} s")
 def then_given_up(context: Any, seconds: float) -> None:
     context.client.list("groups", "records", lambda result: None)
     assert context.asked[-1][1] == seconds, context.asked[-1]
