--- a/bamboospring/sessions/catalog_keeper.py
+++ b/bamboospring/sessions/catalog_keeper.py
@@ -171,10 +171,12 @@
             self._confirm_read(self._refresh_asked_at)
 
     def _wait_ms(self) -> int:
-        key_life = self._board.key_lifetime
-        if key_life is None or not self.is_leader():
+        key_lifetime = self._board.key_lifetime
+        if key_lifetime is None or not self.is_leader():
             return WATCH_MS
-        return min(WATCH_MS, round(key_life * LEADER_WATCH_FRACTION * 1000))
+        return min(
+            WATCH_MS, round(key_lifetime * LEADER_WATCH_FRACTION * 1000)
+        )
 
     def _on_watched(self, objects: tuple[Found, ...]) -> None:
         self._watch.wait_ms = self._wait_ms()
--- a/bamboospring/sessions/proof_release.py
+++ b/bamboospring/sessions/proof_release.py
@@ -123,7 +123,7 @@
         unreleased = {vm.name for vm in vms} | {self._board.vm}
         started_at = self._reactor.now()
 
-        def released(vm: str) -> None:
+        def on_vm_released(vm: str) -> None:
             unreleased.discard(vm)
             if unreleased:
                 return
@@ -148,7 +148,7 @@
                         of=vm.name,
                     )
                 elif answer.recordSeen.version >= record.version:
-                    released(vm.name)
+                    on_vm_released(vm.name)
 
             self._peers.ask(
                 vm.address, _record_message(record), ANSWER_TIMEOUT, answered
@@ -158,7 +158,7 @@
             if vm.name != self._board.vm:
                 ask_vm(vm)
         group = self._board.group(record.group)
-        self._release(group, record, lambda: released(self._board.vm))
+        self._release(group, record, lambda: on_vm_released(self._board.vm))
 
     # Releasing proofs.
 
--- a/bamboospring/sessions/record_keeper.py
+++ b/bamboospring/sessions/record_keeper.py
@@ -317,9 +317,10 @@
         group.outgoing_primary = None
         group.primary_set_at = self._reactor.now()
         if group.is_changing:
-            took = self._reactor.now() - group.change_seen_at
+            duration = self._reactor.now() - group.change_seen_at
             self._board.change_duration += CHANGE_SMOOTHING * (
-                min(took, MAX_CHANGE_DURATION) - self._board.change_duration
+                min(duration, MAX_CHANGE_DURATION)
+                - self._board.change_duration
             )
         group.is_changing = False
 
--- a/bamboospring/sessions/takeover.py
+++ b/bamboospring/sessions/takeover.py
@@ -466,11 +466,13 @@
             return []
         if self.term_holder in missing or not reports:
             return []
-        old = reports.get(self.record.primary)
-        best = self._best_candidate(reports)
-        if old is not None and best and self.cause.is_planned:
-            behind = _log_position(reports[best]) < _log_position(old)
-            if behind and now - self._phase_at < CATCH_UP_TIMEOUT:
+        primary = reports.get(self.record.primary)
+        candidate = self._best_candidate(reports)
+        if primary is not None and candidate and self.cause.is_planned:
+            is_behind = _log_position(reports[candidate]) < _log_position(
+                primary
+            )
+            if is_behind and now - self._phase_at < CATCH_UP_TIMEOUT:
                 if now - self._sent_at >= CONFIRM_INTERVAL:
                     return self._ask(self.targets, now)
                 return []
--- a/bamboospring/sessions/takeover_runner.py
+++ b/bamboospring/sessions/takeover_runner.py
@@ -204,7 +204,7 @@
                         version=version,
                         value=value,
                     )
-                    actions = self._read_back(takeover, found)
+                    actions = self._on_record_read(takeover, found)
                 case _:
                     actions = takeover.on_store_unanswered(now)
             self._advance(group, takeover, actions)
@@ -246,7 +246,7 @@
         def on_result(result: Found | Missing | Unavailable) -> None:
             if isinstance(result, Found):
                 self._advance(
-                    group, takeover, self._read_back(takeover, result)
+                    group, takeover, self._on_record_read(takeover, result)
                 )
 
         self._platform.get(
@@ -257,7 +257,9 @@
             timeout=STORE_TIMEOUT,
         )
 
-    def _read_back(self, takeover: Takeover, found: Found) -> list[Action]:
+    def _on_record_read(
+        self, takeover: Takeover, found: Found
+    ) -> list[Action]:
         record = decode_record(found)
         if record is None:
             return []
--- a/bamboospring/sessions/target_keeper.py
+++ b/bamboospring/sessions/target_keeper.py
@@ -225,8 +225,8 @@
     def _handle_missing(
         self, group: SessionGroup, name: str, now: float
     ) -> None:
-        since = self._missing.setdefault(name, now)
-        if now - since < REMOVE_AFTER:
+        missing_since = self._missing.setdefault(name, now)
+        if now - missing_since < REMOVE_AFTER:
             return
         listed = group.targets[name]
         self._remove_target(group, listed)
@@ -234,7 +234,7 @@
             "target_gone",
             group=group.name,
             target=name,
-            missing_ms=round((now - since) * 1000),
+            missing_ms=round((now - missing_since) * 1000),
         )
 
     def _remove_target(
@@ -254,7 +254,7 @@
             MIN_CONNECTIONS, int(fair_share * MAX_SHARE_FACTOR)
         )
         connections = max_connections
-        idle, max_kept_idle = idle_timeout(fair_share), max(
+        idle_limit, max_kept_idle = idle_timeout(fair_share), max(
             1, int(fair_share * KEPT_IDLE_FRACTION)
         )
         if self._zone_holders.holds(listed.target.name, self._reactor.now()):
@@ -265,9 +265,9 @@
                 max_connections,
                 int(limits.max_connections * HOLDER_CONNECTION_FRACTION),
             )
-            idle, max_kept_idle = HOLDER_IDLE_TIMEOUT, connections
+            idle_limit, max_kept_idle = HOLDER_IDLE_TIMEOUT, connections
         share = TargetCapacity(slots=max_connections, connections=connections)
         pool = self._pools.pool(listed.target)
         if pool.share != share:
             pool.set_share(share)
-        pool.set_idle_limits(idle, max_kept=max_kept_idle)
+        pool.set_idle_limits(idle_limit, max_kept=max_kept_idle)
--- a/bamboospring/sessions/vm_registry.py
+++ b/bamboospring/sessions/vm_registry.py
@@ -116,7 +116,7 @@
     ) -> None:
         """Read all entries; call back with None if the read fails."""
 
-        def answered(result: Changes | Unavailable) -> None:
+        def on_result(result: Changes | Unavailable) -> None:
             if isinstance(result, Unavailable):
                 on_listed(None)
                 return
@@ -124,7 +124,7 @@
             self.vms = {vm.name: vm for vm in vms if vm is not None}
             on_listed(self.vms)
 
-        self._platform.list(VM_KIND, "vms", answered, timeout=LIST_TIMEOUT)
+        self._platform.list(VM_KIND, "vms", on_result, timeout=LIST_TIMEOUT)
 
     def remove_expired(self, now: float) -> None:
         """Remove entries that have not been renewed for too long."""
@@ -144,7 +144,7 @@
     def _remove(self, vm: ListedVm) -> None:
         self._unchanged_since.pop(vm.name, None)
 
-        def answered(result: Deleted | Conflict | Unavailable) -> None:
+        def on_result(result: Deleted | Conflict | Unavailable) -> None:
             logs.log_event(
                 "vm_removed",
                 of=vm.name,
@@ -152,7 +152,7 @@
                 outcome=type(result).__name__,
             )
 
-        self._platform.delete(VM_KIND, vm.name, vm.version, "vms", answered)
+        self._platform.delete(VM_KIND, vm.name, vm.version, "vms", on_result)
 
     def _renew(self) -> None:
         self._timer = None
@@ -168,7 +168,7 @@
             "renewals": self._renewals,
         }
 
-        def answered(
+        def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
         ) -> None:
             match result:
@@ -202,7 +202,7 @@
             )
 
         self._platform.put(
-            VM_KIND, self.local_vm.name, self._version, value, "vm", answered
+            VM_KIND, self.local_vm.name, self._version, value, "vm", on_result
         )
 
     def _is_lost(self, version: int) -> bool:
