--- a/bamboospring/sessions/settled_record.py
+++ b/bamboospring/sessions/settled_record.py
@@ -32,8 +32,8 @@
 ) -> PrimaryRecord | None:
     """Return the record on which all targets agree, None if they don't.
 
-    `reports` are as for `others_confirm_term`. `known` is the newest known
-    record, whether or not the store still has it. A former primary of an
+    `reports` are as in `proofs.others_confirm_term`. `known` is the newest
+    known record, whether or not the store still has it. A former primary of an
     earlier term that still reports itself as primary does not matter.
     """
     latest = latest_known_record(known, unsettled, reports)
