--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -175,7 +175,7 @@
     """Another VM that releases its proof at once."""
 
     def __init__(self) -> None:
-        self.told = 0
+        self.ask_count = 0
 
     def add_handler(self, kind: str, handler: Any) -> None:
         pass
@@ -183,7 +183,7 @@
     def ask(
         self, address: str, message: Any, timeout: float, on_answer: Any
     ) -> None:
-        self.told += 1
+        self.ask_count += 1
         answer = new_envelope()
         answer.init("recordSeen").version = 7
         on_answer(answer)
@@ -213,7 +213,7 @@
 @when("it asks all VMs to release their proof of a primary")
 def when_asked(context: Any) -> None:
     context.released = []
-    context.peers.told = 0
+    context.peers.ask_count = 0
     change = PendingChange(term=2, vm="vm0", nonce="n", cause="failed")
     record = PrimaryRecord(
         group="g", version=7, term=1, primary="m0", change=change
@@ -233,13 +233,13 @@
 
 @then("it learns that all have released their proof")
 def then_released(context: Any) -> None:
-    assert context.released, context.peers.told
+    assert context.released, context.peers.ask_count
 
 
 @then("it does not learn of a release, but has sent the record to the VM")
 def then_told(context: Any) -> None:
     assert not context.released
-    assert context.peers.told == 1
+    assert context.peers.ask_count == 1
 
 
 # The list of targets.
