--- a/features/session_texts.feature
+++ b/features/session_texts.feature
@@ -32,14 +32,15 @@
     Then the answer is failed no_statement in state idle
 
   Scenario: A transaction that rests too long is told so with the next answer
-    # The caller begins, reads and goes for a coffee. Its connection and lock
-    # are given back; whatever is sent to it meanwhile it would take for the
-    # answer to its next statement, so it learns of it only then.
+    # The caller begins a transaction, reads and pauses. The connection and
+    # the lock of the transaction are released. Anything sent to the caller
+    # meanwhile would be taken for the answer to its next statement, so it
+    # is told only then.
     Given a session
     When it is asked to BEGIN
     And it is asked to READ a
     And 3.1 s pass
-    Then its connection was given up
+    Then its connection was released
     And nothing was sent meanwhile
     When it is asked to READ b
     Then the answer is not_run transaction_idle in state failed
@@ -63,19 +64,21 @@
     Then the answers are served, acknowledged and served
 
   Scenario: A caller is told to go before its connection is closed
-    # The VM stops. A write is on its way to a session at rest: were the
-    # connection closed on it, the caller could not know whether it ran, and
-    # would not send it again. It takes the refusal for its answer instead.
+    # The VM shuts down while a write is in transit to an idle session. If
+    # the connection were closed, the caller could not know whether the
+    # write ran, and would not retry it. It takes the refusal as the answer
+    # instead.
     Given a session
-    When it is told to leave
-    Then the caller has a refusal and its connection
-    When a write that was on its way comes
-    Then that answer is concluded, the write has not run, and it is closed
+    When its disconnection is requested
+    Then the caller has a refusal and stays connected
+    When a write that was in transit arrives
+    Then that answer is completed, the write has not run, and the connection is closed
 
   Scenario: A caller that sends nothing after it was told to go is closed
-    # It closes by itself when it reads the refusal, unless it does not read.
+    # A caller closes the connection when it reads the refusal. This one
+    # does not read.
     Given a session
-    When it is told to leave
+    When its disconnection is requested
     And 0.5 s pass
     Then the connection is closed and nothing has run
 
@@ -83,24 +86,25 @@
     Given a session
     When it is asked to BEGIN
     And it is asked to READ a
-    And the caller leaves
-    Then its connection was given up
+    And the caller disconnects
+    Then its connection was released
 
   Scenario: Lines come in any pieces
     Then every cut of three lines gives the same three lines
     And a line over 1 MiB is refused
-    And any bytes leave the parser of statements standing
+    And the statement parser handles any bytes
 
   Scenario: An opening is held while the VM learns, with what was sent ahead
-    # After all VMs had lost power callers came before the records were read,
-    # were refused, and found the other VMs starting as well.
+    # Guards against: after a power failure of all VMs, callers that connect
+    # before the records are read are refused, and find the other VMs
+    # starting as well.
     Given a caller's listener that is not ready for 0.1 s
     When a caller opens a session and sends a statement ahead
     Then it gets READY and then the statement's answer
-    And a listener that stays unready says BUSY within 2 s
+    And a listener that stays unready answers BUSY within 2 s
 
   Scenario: Entries of other writers name nothing to use
-    Then each of these entries of a target is passed over
+    Then each of these entries of a target is ignored
       | entry                                                    |
       | null                                                     |
       | "text"                                                   |
@@ -109,16 +113,16 @@
       | {"service": "g", "address": "1.2.3.4:5", "zone": "z", "state": "asleep", "databaseRole": "replica"} |
       | {"service": "g", "address": "nowhere", "zone": "z", "state": "ready", "databaseRole": "replica"} |
       | {"service": "g", "address": "1.2.3.4:5", "zone": "z", "state": "ready", "databaseRole": "boss"} |
-    And a good entry beside them is read
+    And a valid entry is read
 
   Scenario: A page of the store with one broken object keeps the others
-    Then a list with a broken item gives the readable ones
+    Then a list with a broken item returns the readable ones
     And a list in two pages asks for the second after the last name
-    And a watch whose history is gone has everything read anew
+    And a watch whose history is gone reads everything again
 
   Scenario: A reader of the log that stops stops nobody
-    # The collector of logs hangs. A process that waits in a write to standard
-    # output would keep every caller waiting.
+    # The log collector hangs. A process that blocks in a write to standard
+    # output would block every caller.
     Given a log whose reader has stopped
     When 20000 lines are logged
     Then logging them took less than 5 s and lines were dropped and counted
@@ -129,10 +133,10 @@
     And the next second's first line says how many were left out
 
   Scenario: A VM that starts loads nothing that it needs only later or never
-    # All VMs have lost power. Callers connect, and nobody answers until the
-    # first VM has loaded its program: what is loaded for a fault in the
-    # settings, for the other outside or for a scan of the machine's packages
-    # makes every one of them wait longer.
+    # All VMs have lost power. Callers connect, and none is answered until
+    # the first VM has loaded its program. Modules that are needed only to
+    # report a fault in the settings, for the other kind of platform, or to
+    # scan the installed packages make all callers wait longer.
     Then the program of such a VM is loaded without any of these
       | module                      |
       | pkg_resources               |
@@ -144,8 +148,8 @@
       | bamboospring.http_dialer    |
 
   Scenario: Settings are read the same quickly and with the full grammar
-    # What differs would be a fault that nobody is told of.
-    Then each of these texts gives what the full grammar gives
+    # A difference would change settings without an error.
+    Then each of these texts is read as by the full grammar
       | text                                    |
       | {"level": "info"}                       |
       | // a comment\n{"level": "debug"}        |
@@ -158,8 +162,9 @@
       | {level: "info"}                         |
 
   Scenario: What callers lost is counted from the logs of all VMs
-    # Before anybody asks for one request: how many failed, of which kind, why,
-    # and when. A statement whose caller had left is told by what it waited for.
+    # An overview of the statements that failed: how many, of which kind,
+    # why and when. For a statement whose caller had disconnected, it shows
+    # what the statement waited for.
     Given these lines of two VMs
       | line |
       | time=2026-01-31T09:30:00.100Z level=info event=answered vm=a group=g kind=read transaction=false outcome=served reason="" |
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -53,10 +53,10 @@
 from bamboospring.testing.session_fleet import FleetTeam
 from bamboospring.testing.session_fleet import SessionFleet
 from bamboospring.testing.session_platform import StoreFaults
-from features.steps.session_estate_steps import Stage
+from features.steps.session_estate_steps import SessionFleetRun
 from features.steps.session_texts_steps import FakeChannel
+from features.steps.session_texts_steps import FakeExecutor
 from features.steps.session_texts_steps import FakeReactor
-from features.steps.session_texts_steps import FakeWorker
 from features.steps.unanswered_steps import FakeClock
 
 KEY_LIFE = 5.0
@@ -102,7 +102,9 @@
     return key_digest(key.encode())
 
 
-def judged(board: SessionBoard, database: str, key: str, at: float) -> Any:
+def checked_access(
+    board: SessionBoard, database: str, key: str, at: float
+) -> Any:
     assert board.catalog is not None
     route = board.catalog.routes[database]
     identity = identify(board.catalog, digest(key))
@@ -126,26 +128,26 @@
 
 @then("the key of bank opens sessions of bank")
 def then_bank(context: Any) -> None:
-    identity, refusal = judged(context.board, "d", BANK, 100.0)
+    identity, refusal = checked_access(context.board, "d", BANK, 100.0)
     assert refusal is None and identity.team == "bank"
 
 
 @then("an unknown key is refused as unknown_key")
 def then_unknown(context: Any) -> None:
-    _identity, refusal = judged(context.board, "d", "nobody", 100.0)
+    _identity, refusal = checked_access(context.board, "d", "nobody", 100.0)
     assert isinstance(refusal, NotRun), refusal
     assert refusal.reason.value == "unknown_key"
 
 
-@then("any word opens a route that needs no key")
+@then("any credential opens a route that needs no key")
 def then_any_word(context: Any) -> None:
-    identity, refusal = judged(context.board, "open", "u3f1", 100.0)
+    identity, refusal = checked_access(context.board, "open", "u3f1", 100.0)
     assert refusal is None and identity.team == ""
 
 
 @then("the key of shop opens sessions of shop on that route")
 def then_shop_open(context: Any) -> None:
-    identity, refusal = judged(context.board, "open", SHOP, 100.0)
+    identity, refusal = checked_access(context.board, "open", SHOP, 100.0)
     assert refusal is None and identity.team == "shop"
 
 
@@ -163,9 +165,9 @@
 
 @then("that key is refused as unknown_key")
 def then_shared_refused(context: Any) -> None:
-    _identity, refusal = judged(context.board, "d", BANK, 100.0)
+    _identity, refusal = checked_access(context.board, "d", BANK, 100.0)
     assert refusal.reason.value == "unknown_key"
-    _identity, refusal = judged(context.board, "d", SHOP, 100.0)
+    _identity, refusal = checked_access(context.board, "d", SHOP, 100.0)
     assert refusal is None
 
 
@@ -182,7 +184,7 @@
 def given_session(context: Any) -> None:
     context.board = make_board(bank=[BANK], shop=[SHOP])
     context.reactor = FakeReactor()
-    context.worker = FakeWorker()
+    context.executor = FakeExecutor()
     context.channel = FakeChannel()
     context.session = Session(
         caller="bank/1",
@@ -190,11 +192,11 @@
         database="d",
         reactor=context.reactor,
         board=context.board,
-        executor=context.worker,
+        executor=context.executor,
         channel=context.channel,
     )
     context.session.submit("1", TextStatement(writes=False, text="READ a"))
-    assert len(context.worker.asked) == 1
+    assert len(context.executor.jobs) == 1
 
 
 @when("its key is given to shop")
@@ -202,7 +204,7 @@
     context.board.catalog = catalog_of(bank=[], shop=[SHOP, BANK])
 
 
-@when("it has begun a transaction and its key is taken away")
+@when("it has begun a transaction and its key is removed")
 def when_taken(context: Any) -> None:
     context.session.submit("2", Begin(read_only=False))
     assert isinstance(context.channel.answers[-1].outcome, AcknowledgedLocally)
@@ -217,17 +219,17 @@
 
 @then("its next statement is refused as {reason}")
 def then_refused(context: Any, reason: str) -> None:
-    before = len(context.worker.asked)
+    before = len(context.executor.jobs)
     context.session.submit("9", TextStatement(writes=False, text="READ b"))
     outcome = context.channel.answers[-1].outcome
     assert outcome.reason.value == reason, outcome
-    assert len(context.worker.asked) == before
+    assert len(context.executor.jobs) == before
 
 
-@then("the transaction has failed and its connection is given back")
+@then("the transaction has failed and its connection is released")
 def then_given_back(context: Any) -> None:
     assert context.session.state is SessionState.FAILED
-    assert context.worker.given_up == 1
+    assert context.executor.released_count == 1
 
 
 @then("a new session is refused as key_unconfirmed")
@@ -245,8 +247,8 @@
     assert refusal.retry_after_ms > 0
 
 
-@then("callers are led elsewhere long before that")
-def then_led(context: Any) -> None:
+@then("callers are sent to other VMs long before that")
+def then_sent_elsewhere(context: Any) -> None:
     board = context.board
     assert unready_reason(board, 100.0 + 0.5 * KEY_LIFE) == ""
     assert unready_reason(board, 100.0 + 0.7 * KEY_LIFE) != ""
@@ -256,7 +258,7 @@
 
 
 class ScriptedPlatform:
-    """Answers when the script says so."""
+    """A platform client whose calls the test answers."""
 
     def __init__(self) -> None:
         self.calls: list[Any] = []
@@ -265,11 +267,11 @@
 
     def may_be_incomplete(self, asked_at: float) -> bool:
         restored_at = self.restored_at
-        lost_until = -1e9 if restored_at is None else restored_at
-        return asked_at < lost_until + WRITTEN_AGAIN
+        incomplete_until = -1e9 if restored_at is None else restored_at
+        return asked_at < incomplete_until + WRITTEN_AGAIN
 
-    def heard(self, era: int, now: float) -> None:
-        """Note the era of an answer, as the client does."""
+    def record_era(self, era: int, now: float) -> None:
+        """Record the era of an answer, as the client does."""
         if era > self.era:
             self.era, self.restored_at = era, now
 
@@ -283,7 +285,7 @@
 
 
 class KeyVm:
-    """A VM that keeps the configuration, by the store or by another VM."""
+    """A VM that gets the configuration from the store or another VM."""
 
     def __init__(self, clock: FakeClock) -> None:
         self.clock = clock
@@ -306,20 +308,20 @@
     def serves(self, key: str, sent_at: float) -> bool:
         if self.board.catalog is None:
             return False
-        return judged(self.board, "d", key, sent_at)[1] is None
+        return checked_access(self.board, "d", key, sent_at)[1] is None
 
 
-class KeyWorld:
-    """A store, VMs that ask it or each other, and calls on their way.
+class KeySimulation:
+    """A store, VMs that ask it or each other, and calls in transit.
 
-    With `returns` the store comes back once from a copy of before the key was
-    taken away, and the operator writes that again within two seconds.
+    With `restores`, the store is restored once from a copy made before the key
+    was removed, and the operator removes it again within two seconds.
     """
 
-    def __init__(self, seed: int, *, returns: bool = False) -> None:
-        self.returns = returns
+    def __init__(self, seed: int, *, restores: bool = False) -> None:
+        self.restores = restores
         self.era = 0
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.clock = FakeClock()
         self.clock.time = 100.0
         self.version = 1
@@ -330,17 +332,17 @@
             vm.keeper.start()
 
     def step(self) -> None:
-        draw = self.chance.random()
-        wait = self.chance.choice([0.001, 0.05, 0.3, 1.0])
+        draw = self.rng.random()
+        wait = self.rng.choice([0.001, 0.05, 0.3, 1.0])
         self.clock.run_until(self.clock.now() + wait)
         if draw < 0.02 and self.removed_at == float("inf"):
             self._remove()
-        elif draw < 0.1 and self.returns and self.version > 1:
-            self._come_back()
+        elif draw < 0.1 and self.restores and self.version > 1:
+            self._restore_store()
         elif draw < 0.5:
-            self._answer(self.chance.choice(self.vms))
+            self._answer(self.rng.choice(self.vms))
         else:
-            asker, other = self.chance.sample(self.vms, 2)
+            asker, other = self.rng.sample(self.vms, 2)
             self._relay(asker, other)
 
     def _remove(self) -> None:
@@ -348,18 +350,18 @@
         self.value = config(version=self.version, bank=[])
         self.removed_at = self.clock.now()
 
-    def _come_back(self) -> None:
-        self.returns = False
+    def _restore_store(self) -> None:
+        self.restores = False
         newest, self.value = self.value, config(bank=[BANK])
         self.era, self.version = 1, 1
 
         def write_again() -> None:
             self.version, self.value = 2, newest
 
-        self.clock.call_later(self.chance.uniform(0.0, 2.0), write_again)
+        self.clock.call_later(self.rng.uniform(0.0, 2.0), write_again)
 
     def _answer(self, vm: KeyVm) -> None:
-        """The store answers a call by what it holds now, after a while."""
+        """Answer a call with the store's present contents, after a delay."""
         if not vm.platform.calls:
             return
         on_result = vm.platform.calls.pop(0)
@@ -367,36 +369,36 @@
         version = version_of(era=era, revision=self.version)
         held = (stored(version, self.value),)
         result = Changes(objects=held, revision=version)
-        way = self.chance.choice([0.001, 0.5, 3.0])
+        delay = self.rng.choice([0.001, 0.5, 3.0])
 
         def answered() -> None:
-            vm.platform.heard(era, self.clock.now())
+            vm.platform.record_era(era, self.clock.now())
             on_result(result)
 
-        self.clock.call_later(way, answered)
+        self.clock.call_later(delay, answered)
 
     def _relay(self, asker: KeyVm, other: KeyVm) -> None:
-        """One VM asks another; both ways take a while."""
+        """Let one VM ask another, with a delay in both directions."""
         asked_at = self.clock.now()
 
         def answer() -> None:
             now = self.clock.now()
             age = now - other.board.catalog_confirmed_at
             known = other.keeper.version
-            way = self.chance.choice([0.001, 0.2, 2.0])
+            delay = self.rng.choice([0.001, 0.2, 2.0])
             if known:
-                self.clock.call_later(way, lambda: take(known, age))
+                self.clock.call_later(delay, lambda: take(known, age))
 
         def take(known: int, age: float) -> None:
             data = b""
-            if self.chance.random() < 0.5:
+            if self.rng.random() < 0.5:
                 data = other.keeper.as_bytes()
                 known = other.keeper.version
             asker.keeper.apply_relayed(
                 known, 0.0, asked_at - age, self.clock.now() + 0.5, data
             )
 
-        self.clock.call_later(self.chance.choice([0.001, 0.2, 2.0]), answer)
+        self.clock.call_later(self.rng.choice([0.001, 0.2, 2.0]), answer)
 
     def fault(self) -> str:
         late = self.clock.now() - self.removed_at
@@ -407,24 +409,24 @@
         return ""
 
 
-def explore_keys(seed: int, *, returns: bool = False) -> str:
-    world = KeyWorld(seed, returns=returns)
+def explore_keys(seed: int, *, restores: bool = False) -> str:
+    simulation = KeySimulation(seed, restores=restores)
     for _ in range(250):
-        world.step()
-        if world.fault():
-            return f"seed {seed}: {world.fault()}"
+        simulation.step()
+        if simulation.fault():
+            return f"seed {seed}: {simulation.fault()}"
     return ""
 
 
-@then("no explored world of relays runs a key too late")
-def then_no_world(context: Any) -> None:
+@then("no explored run with relays accepts a removed key too late")
+def then_no_late_key(context: Any) -> None:
     faults = [fault for seed in range(300) if (fault := explore_keys(seed))]
     assert not faults, faults[:3]
 
 
 @then("no explored return of the store lets a key run too late")
 def then_no_return(context: Any) -> None:
-    found = [explore_keys(seed, returns=True) for seed in range(400)]
+    found = [explore_keys(seed, restores=True) for seed in range(400)]
     assert not any(found), [each for each in found if each][:3]
 
 
@@ -474,7 +476,7 @@
     assert context.vm.serves(BANK, 108.0)
 
 
-@when("the store refuses it a newer version that another has")
+@when("the store fails to return a newer version that another VM has")
 def when_passed_on(context: Any) -> None:
     context.calls = len(context.vm.platform.calls)
     other = KeyVm(context.clock)
@@ -494,7 +496,7 @@
     assert not keeper.refresh_failed
 
 
-@then("it takes the data from there, in force and confirmed")
+@then("it gets the data from that VM, in force and confirmed")
 def then_in_force(context: Any) -> None:
     assert context.vm.serves(SHOP, 107.0)
     assert not context.vm.serves(BANK, 107.0)
@@ -505,7 +507,7 @@
 
 
 class TeamLink:
-    """A connection that remembers whom it was opened for."""
+    """A connection that records the team it was opened for."""
 
     def __init__(self, team: str) -> None:
         self.team = team
@@ -516,24 +518,24 @@
 
 
 class TeamDialer:
-    """Opens after a while; a target that is full says so."""
+    """Opens connections after a delay, up to a limit."""
 
-    def __init__(self, clock: FakeClock, places: int) -> None:
-        self.clock, self.places = clock, places
+    def __init__(self, clock: FakeClock, connection_limit: int) -> None:
+        self.clock, self.connection_limit = clock, connection_limit
         self.links: list[TeamLink] = []
 
-    def open(self, team: str, timeout: float, on_done: Any) -> None:
+    def open(self, team: str, timeout: float, on_complete: Any) -> None:
         standing = sum(link.usable for link in self.links)
-        if standing >= self.places:
+        if standing >= self.connection_limit:
             full = OpenFailed(full=True)
-            self.clock.call_later(0.002, lambda: on_done(full))
+            self.clock.call_later(0.002, lambda: on_complete(full))
             return
         link = TeamLink(team)
         self.links.append(link)
-        self.clock.call_later(0.012, lambda: on_done(Opened(link=link)))
+        self.clock.call_later(0.012, lambda: on_complete(Opened(link=link)))
 
-    def check(self, link: Any, timeout: float, on_done: Any) -> None:
-        raise AssertionError("nothing rests for long enough")
+    def check(self, link: Any, timeout: float, on_complete: Any) -> None:
+        raise AssertionError("no connection is idle for long enough")
 
     def end(self, number: int) -> None:
         pass
@@ -558,15 +560,15 @@
 
 
 def explore_pool(seed: int) -> tuple[int, int]:
-    """Play a load of many teams; returns who was served, and wrongly so."""
-    chance = random.Random(seed)
+    """Simulate a load of many teams; return the numbers served and wrong."""
+    rng = random.Random(seed)
     clock = FakeClock()
-    dialer = TeamDialer(clock, places=chance.randint(1, 4))
-    pools = make_pools(clock, dialer, chance.randint(1, 4))
+    dialer = TeamDialer(clock, connection_limit=rng.randint(1, 4))
+    pools = make_pools(clock, dialer, rng.randint(1, 4))
     served = wrong = 0
 
     def ask() -> None:
-        team = f"team-{int(chance.expovariate(0.5))}"
+        team = f"team-{int(rng.expovariate(0.5))}"
 
         def ready(result: Any) -> None:
             nonlocal served, wrong
@@ -574,21 +576,21 @@
                 return
             served += 1
             wrong += result.conn.team != team
-            healthy = chance.random() < 0.95
+            healthy = rng.random() < 0.95
             clock.call_later(
-                chance.uniform(0.0, 0.03),
+                rng.uniform(0.0, 0.03),
                 lambda: pools.release(result, healthy=healthy),
             )
 
         pools.acquire(TARGET, clock.now() + 1.0, team, ready, team=team)
-        clock.call_later(chance.expovariate(80.0), ask)
+        clock.call_later(rng.expovariate(80.0), ask)
 
     ask()
     clock.run_until(6.0)
     return served, wrong
 
 
-@then("no explored load hands a team another's connection")
+@then("no explored load gives a team another team's connection")
 def then_no_load(context: Any) -> None:
     for seed in range(40):
         served, wrong = explore_pool(seed)
@@ -596,10 +598,10 @@
         assert served > 50, (seed, served)
 
 
-@given("a pool of {count:d} connections that rest for bank")
+@given("a pool of {count:d} idle connections of bank")
 def given_resting(context: Any, count: int) -> None:
     context.clock = FakeClock()
-    dialer = TeamDialer(context.clock, places=20)
+    dialer = TeamDialer(context.clock, connection_limit=20)
     context.pools = make_pools(context.clock, dialer, count)
     context.got: list[Any] = []
     for _ in range(count):
@@ -623,11 +625,11 @@
     assert [leased.conn.team for leased in context.got] == ["shop"]
 
 
-# An estate.
+# An estate of real VMs.
 
 
-class KeyStage(Stage):
-    """An estate whose callers open with keys."""
+class KeyFleetRun(SessionFleetRun):
+    """An estate whose callers use keys."""
 
     def make_fleet(self, vms: int) -> None:
         limits = TeamLimits(rate=30, burst=30)
@@ -642,7 +644,7 @@
             },
             key_life_ms=2000,
         )
-        self.floods = 0
+        self.flood_callers = 0
         self.served_at: dict[str, list[float]] = {}
 
     def work(self, callers: int, seconds: float) -> None:
@@ -664,7 +666,7 @@
                     *(["flood"] if number >= callers else ["bank", "shop"])
                 ),
             )
-            for number in range(callers + self.floods)
+            for number in range(callers + self.flood_callers)
         ]
         work = [asyncio.create_task(w.run(until)) for w in workers]
         acts = [asyncio.create_task(act()) for act in self.acts]
@@ -673,13 +675,15 @@
 
 @given("an estate with keys and {vms:d} VMs")
 def given_key_estate(context: Any, vms: int) -> None:
-    context.stage = KeyStage(vms, 2)
+    context.stage = KeyFleetRun(vms, 2)
     context.stage.make_fleet(vms)
     context.add_cleanup(context.stage.close)
     context.stage.call(context.stage.fleet.start())
 
 
-@when("the store is silent and a key is taken away after {seconds:d} second")
+@when(
+    "the store does not answer and a key is removed after {seconds:d} second"
+)
 def when_silent(context: Any, seconds: int) -> None:
     fleet = context.stage.fleet
 
@@ -695,7 +699,7 @@
 
 @when("the team flood sends without a pause")
 def when_flood(context: Any) -> None:
-    context.stage.floods = 12
+    context.stage.flood_callers = 12
 
 
 @when("{callers:d} callers of all teams work for {seconds:d} seconds")
@@ -711,7 +715,7 @@
         for name, team in context.stage.fleet.teams.items()
         if team.limits is not None
     }
-    context.most = judge.check_team_limits(limits)
+    context.max_operations = judge.check_team_limits(limits)
     assert not judge.violations, judge.violations[:5]
     assert judge.counts["ran"] > 50
 
@@ -732,7 +736,7 @@
             assert key.key not in text, vm.name
 
 
-@then("logs tell the team of each statement")
+@then("logs show the team of each statement")
 def then_team_logged(context: Any) -> None:
     fleet = context.stage.fleet
     text = "".join(fleet.read_log(vm) for vm in fleet.vms)
@@ -752,12 +756,14 @@
     assert any(at > 6.5 for at in ran)
 
 
-@then("the team flood ran {share:g} of what it may at least")
+@then("the team flood ran at least {share:g} of its limit")
 def then_flood(context: Any, share: float) -> None:
-    assert context.most["flood"] >= share * 30 * 5, context.most
+    assert (
+        context.max_operations["flood"] >= share * 30 * 5
+    ), context.max_operations
 
 
-@when("the choice of who counts has settled")
+@when("all VMs know which VMs count")
 def when_settled(context: Any) -> None:
     fleet = context.stage.fleet
     until = time.monotonic() + 15
@@ -769,38 +775,36 @@
     raise AssertionError("no VM counts")
 
 
-@then("metrics tell what became of the statements of bank and shop")
+@then("metrics show the outcomes of statements of bank and shop")
 def then_team_metrics(context: Any) -> None:
     for team in ("bank", "shop"):
         assert f'team="{team}"' in context.metrics, context.metrics[-800:]
 
 
-@then("of {count:d} teams {most:d} are shown by name and nothing is lost")
-def then_largest(context: Any, count: int, most: int) -> None:
+@then("of {count:d} teams {max_named:d} are shown by name and nothing is lost")
+def then_largest(context: Any, count: int, max_named: int) -> None:
     teams = {
         f"team-{number}": Counter(served=number + 1, limited=1)
         for number in range(count)
     }
     shown = largest_teams(teams)
-    assert len(shown) == most + 1
+    assert len(shown) == max_named + 1
     assert f"team-{count - 1}" in shown and "team-0" not in shown
     before = sum(counts.total() for counts in teams.values())
     assert sum(counts.total() for counts in shown.values()) == before
 
 
-@then(
-    "a configuration of {small:d} bytes is passed on, one of {large:d} is not"
-)
+@then("a configuration of {small:d} bytes is relayed, one of {large:d} is not")
 def then_passable(context: Any, small: int, large: int) -> None:
     assert len(CatalogSendLimiter().data_to_send(b"x" * small, 0.0)) == small
     assert CatalogSendLimiter().data_to_send(b"x" * large, 0.0) == b""
 
 
 def pass_on(count: int, size: int) -> list[float]:
-    """Return when each of so many VMs that ask gets a configuration."""
-    passing, chance = CatalogSendLimiter(), random.Random(1)
+    """Return when each of `count` VMs that ask gets a configuration."""
+    passing, rng = CatalogSendLimiter(), random.Random(1)
     asks = [
-        (chance.uniform(0, 0.6) + 0.6 * turn, number)
+        (rng.uniform(0, 0.6) + 0.6 * turn, number)
         for number in range(count)
         for turn in range(30)
     ]
@@ -813,14 +817,14 @@
 
 
 @then(
-    "{count:d} VMs that ask for one of {size:d} twice a second get {most:d} kB"
-    " a second"
+    "{count:d} VMs that ask for one of {size:d} twice a second get {max_kb:d}"
+    " kB a second"
 )
-def then_rate(context: Any, count: int, size: int, most: int) -> None:
+def then_rate(context: Any, count: int, size: int, max_kb: int) -> None:
     sent = pass_on(count, size)
     for at in sent:
         inside = sum(at <= other < at + 1.0 for other in sent)
-        assert inside * size <= most * 1000 + size, inside
+        assert inside * size <= max_kb * 1000 + size, inside
 
 
 @then(
--- a/features/steps/session_estate_steps.py
+++ b/features/steps/session_estate_steps.py
@@ -1,4 +1,4 @@
-"""Steps with real VMs over the stand-ins of members, store and desk."""
+"""Steps with real VMs and simulated members, store and promotion service."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from bamboospring.testing.session_soak import run_session_soak
 from features.steps.session_stage import act
 from features.steps.session_stage import crash
-from features.steps.session_stage import Stage
+from features.steps.session_stage import SessionFleetRun
 
 
 @given("an estate with {vms:d} VMs and {groups:d} groups")
 def given_estate(context, vms, groups):
-    context.stage = Stage(vms, groups)
+    context.stage = SessionFleetRun(vms, groups)
     context.add_cleanup(context.stage.close)
     context.stage.call(context.stage.fleet.start())
 
@@ -33,7 +33,7 @@
     " connections"
 )
 def given_scarce_estate(context, vms, groups, connections):
-    context.stage = Stage(vms, groups, connections)
+    context.stage = SessionFleetRun(vms, groups, connections)
     context.add_cleanup(context.stage.close)
     context.stage.call(context.stage.fleet.start())
 
@@ -49,11 +49,14 @@
     act(context, after, lambda: crash(context.stage, group, seconds))
 
 
-@when("after {after:d} s the primary of {group} goes dark for {seconds:d} s")
+@when(
+    "after {after:d} s the primary of {group} stops responding for"
+    " {seconds:d} s"
+)
 def when_dark(context, after, group, seconds):
     stage = context.stage
 
-    async def dark():
+    async def stop_responding():
         member = stage.fleet.primary(group)
         member.unresponsive = True
         link = stage.fleet.links[member.id]
@@ -64,7 +67,7 @@
         link.set_mode(mode="pass", direction="both", delay_ms=0)
         await watch
 
-    act(context, after, dark)
+    act(context, after, stop_responding)
 
 
 @when("after {after:d} s the store is down for {seconds:d} s")
@@ -77,7 +80,7 @@
     act(context, after, down)
 
 
-@when("after {after:d} s {vm} is told to stop")
+@when("after {after:d} s {vm} is terminated")
 def when_stop(context, after, vm):
     stage = context.stage
 
@@ -105,13 +108,13 @@
         for name in names.replace(" and ", ", ").split(", "):
             context.stage.fleet.vms[name].process.kill()
         context.stage.passed_on_at_kill = await asyncio.to_thread(
-            passed_on, context.stage
+            forwarded_reads, context.stage
         )
 
     act(context, after, kill)
 
 
-@then("reads were passed on before and after the kill")
+@then("reads were forwarded before and after the kill")
 def then_passed_on(context):
     stage = context.stage
     times = [
@@ -123,20 +126,21 @@
     ]
     at = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(stage.killed_at))
     logged_before = sum(each < at for each in times)
-    at_kill, at_end = stage.passed_on_at_kill, passed_on(stage)
+    at_kill, at_end = stage.passed_on_at_kill, forwarded_reads(stage)
     before = sum(at_kill.values())
     after = sum(count - at_kill[vm] for vm, count in at_end.items())
     counts = (before, after, logged_before, len(times))
     assert min(before, after) >= 30, counts
-    # Logs are bounded, so they show a part of these, with their outcome.
+    # The number of log lines is limited, so they show only some of these, with
+    # their outcomes.
     assert 0 < logged_before < len(times), counts
 
 
-def passed_on(stage):
-    """Return how many reads each running VM has passed on.
+def forwarded_reads(stage):
+    """Return how many reads each running VM has forwarded.
 
-    All are asked at once: one after the other they would take seconds on a
-    busy machine.
+    All VMs are asked at the same time: one after another, they would take
+    seconds on a busy machine.
     """
     running = [n for n, vm in stage.fleet.vms.items() if vm.process.running]
 
@@ -181,8 +185,8 @@
 
 
 @when(
-    "after {after:d} s the VM that leads is paused for {pause:d} s and the "
-    "primary of {group} crashes for {seconds:d} s"
+    "after {after:d} s the leader is paused for {pause:d} s and the primary"
+    " of {group} crashes for {seconds:d} s"
 )
 def when_paused(context, after, pause, group, seconds):
     stage = context.stage
@@ -199,7 +203,7 @@
     act(context, after, pause_and_crash)
 
 
-@when("its VM and a member are ended")
+@when("its VM and a member are stopped")
 def ended(context):
     fleet = context.stage.fleet
     vm = fleet.vms["vm0"]
@@ -210,7 +214,7 @@
     context.addresses = [vm.callers, vm.readiness, member.address]
 
 
-@then("nobody else can listen at their ports")
+@then("no other process can listen on their ports")
 def kept(context):
     for address in context.addresses:
         host, _, port = address.rpartition(":")
@@ -254,7 +258,7 @@
 
 
 def change_lines(fleet):
-    """Return what VMs logged of anything but statements, in order of time."""
+    """Return the VMs' log lines except those of statements, sorted by time."""
     lines = [
         line
         for vm in fleet.vms
@@ -269,7 +273,7 @@
     assert context.stage.late_writes > 0, context.stage.outcomes
 
 
-@then("{vm} has ended by itself")
+@then("{vm} has exited by itself")
 def then_ended(context, vm):
     process = context.stage.fleet.vms[vm].process
     until = time.monotonic() + 10
@@ -278,8 +282,8 @@
     assert process.exit_code == 0, process.exit_code
 
 
-@then("no statement was cut by the stop")
-def then_uncut(context):
+@then("no statement was interrupted by the shutdown")
+def then_uninterrupted(context):
     outcomes = context.stage.outcomes
     unfinished = "unfinished=0" in context.stage.fleet.read_log("vm1")
     assert unfinished, context.stage.fleet.read_log("vm1")[-2000:]
@@ -287,7 +291,7 @@
     assert not bad, outcomes
 
 
-@then("{vm} has logged that it took its settings within {seconds:d} s")
+@then("{vm} has logged that it applied its settings within {seconds:d} s")
 def then_taken(context, vm, seconds):
     context.stage.play()
     until = time.monotonic() + seconds
@@ -319,8 +323,8 @@
     ]
 
 
-@then("the story of a refused write names the change of its primary")
-def then_story(context):
+@then("the trace of a refused write names the change of its primary")
+def then_trace(context):
     context.stage.play()
     events = explain.read_events(all_lines(context.stage))
     refused = [
@@ -331,15 +335,15 @@
         and event.fields.get("group") == "group0"
     ]
     assert refused, len(events)
-    stories = [
+    traces = [
         explain.story_of_request(events, each.fields["trace"])
         for each in refused
     ]
-    text = "\n".join(stories[0])
-    assert any("change_begun" in "\n".join(s) for s in stories), text
+    text = "\n".join(traces[0])
+    assert any("change_begun" in "\n".join(s) for s in traces), text
 
 
-@then("the story of a change names its steps in order")
+@then("the trace of a change names its steps in order")
 def then_change(context):
     events = explain.read_events(all_lines(context.stage))
     text = "\n".join(explain.story_of_group(events, "group0"))
--- a/features/steps/session_stage.py
+++ b/features/steps/session_stage.py
@@ -1,4 +1,4 @@
-"""An estate of real VMs with callers, and what is done to it meanwhile."""
+"""Run an estate of real VMs with callers and scheduled actions."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from bamboospring.testing.session_fleet import SessionFleet
 from bamboospring.testing.session_members import MemberSettings
 
-__all__ = ["Stage", "act", "crash"]
+__all__ = ["SessionFleetRun", "act", "crash"]
 
 
-class Stage:
-    """The estate in an event loop of its own, and what is done to it."""
+class SessionFleetRun:
+    """An estate in its own event loop, with actions run meanwhile."""
 
     def __init__(self, vms, groups, connections=22):
         self.loop = asyncio.new_event_loop()
@@ -23,9 +23,9 @@
             target=self.loop.run_forever, daemon=True
         )
         self.thread.start()
-        knobs = MemberSettings(connections=connections)
+        settings = MemberSettings(connections=connections)
         self.fleet = SessionFleet(
-            vms=vms, groups=groups, member_settings=knobs, seed=3
+            vms=vms, groups=groups, member_settings=settings, seed=3
         )
         self.outcomes = Counter()
         self.acts = []
@@ -33,7 +33,7 @@
         self.callers = []
         self.promoted_after = {}
         self.acted_at = 0.0
-        self.done = False
+        self.has_run = False
 
     def call(self, coro, timeout=60):
         return asyncio.run_coroutine_threadsafe(coro, self.loop).result(
@@ -46,9 +46,9 @@
         self.thread.join(5)
 
     def play(self):
-        """Run the callers and the acts once, at the first check."""
-        if not self.done:
-            self.done = True
+        """Run the callers and the actions once, at the first check."""
+        if not self.has_run:
+            self.has_run = True
             self.call(self._play(), self.seconds + 60)
 
     async def _play(self):
@@ -67,9 +67,9 @@
         work = [asyncio.create_task(w.run(until)) for w in workers]
         acts = [asyncio.create_task(act()) for act in self.acts]
         await asyncio.sleep(self.seconds - 1.5)
-        self.late_before = self._writes()
+        self.writes_before_end = self._writes()
         await asyncio.gather(*work, *acts)
-        self.late_writes = self._writes() - self.late_before
+        self.late_writes = self._writes() - self.writes_before_end
         fleet.checker.check_promotions(fleet.promotion_service.orders)
         for worker in workers:
             self.outcomes.update(worker.outcomes)
--- a/features/steps/session_steps.py
+++ b/features/steps/session_steps.py
@@ -1,4 +1,4 @@
-"""Steps of session.feature."""
+"""Steps for session tokens and the properties of routing."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def signed(position: Position) -> str:
-    """Return a token that the fleet takes for its own."""
+    """Return a token that the fleet accepts."""
     keys = [
         SigningKey(id=key["id"], secret=key["secret"].encode())
         for key in TOKEN_KEYS
@@ -136,13 +136,15 @@
     time.sleep(1.0)
 
 
-@then("a session read that takes an age of {age:d} ms is served at a replica")
+@then(
+    "a session read that accepts an age of {age:d} ms is served at a replica"
+)
 def then_served_at_replica(context: Any, age: int) -> None:
     answer = context.caller.read(GROUP, COUNT, staleness_ms=age)
     assert answer.done and answer.at_replica, answer
 
 
-@then("a session read that takes an age of {age:d} ms shows the row")
+@then("a session read that accepts an age of {age:d} ms shows the row")
 def then_shows_row(context: Any, age: int) -> None:
     for _ in context.fleet.vms:
         context.caller.roam()
@@ -162,14 +164,14 @@
         context.caller.roam()
         context.caller.deadline_ms = 700
         answer = context.caller.write(GROUP, INSERT, [f"lost {vm}"])
-        # "not run" is right as well where the VM has seen that a majority
-        # is at another term and therefore sent nothing.
+        # "not_run" is also correct if the VM has seen that a majority is at
+        # another term, and so has sent nothing.
         assert answer.outcome in ("unknown", "not_run"), answer
         context.unknown_rows.append(f"lost {vm}")
     context.caller.deadline_ms = 2000
 
 
-@then("a session read that takes an age of {age:d} ms is refused as stale")
+@then("a session read that accepts an age of {age:d} ms is refused as stale")
 def then_stale(context: Any, age: int) -> None:
     for _ in context.fleet.vms:
         context.caller.roam()
@@ -189,7 +191,7 @@
     fleet_support.call_json(first, "POST", "/follow", order)
 
 
-@then("the rows that ended as unknown are at no member")
+@then("no member has the rows that ended as unknown")
 def then_gone(context: Any) -> None:
     def settled() -> bool:
         probes = [context.fleet.probe(name) for name in context.fleet.targets]
--- a/features/steps/session_texts_steps.py
+++ b/features/steps/session_texts_steps.py
@@ -1,4 +1,4 @@
-"""Steps for one session, its lines, entries of others, and logs."""
+"""Steps for one session, the line protocol, store objects and logs."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class FakeReactor:
-    """Runs what is due when time is moved."""
+    """Runs due callbacks when the time is advanced."""
 
     def __init__(self):
         self.time = 100.0
@@ -79,15 +79,15 @@
         self.callback = None
 
 
-class FakeWorker(StatementExecutor):
-    """Serves everything at once, and notes what was given up."""
+class FakeExecutor(StatementExecutor):
+    """Serves every statement at once, and counts released connections."""
 
     def __init__(self):
-        self.asked = []
-        self.given_up = 0
+        self.jobs = []
+        self.released_count = 0
 
     def run(self, session, job, tx, on_complete):
-        self.asked.append(job)
+        self.jobs.append(job)
         if tx is not None:
             tx.leased = object()
         on_complete(Served(rows=[], signature="s", target="t"), None)
@@ -98,7 +98,7 @@
 
     def roll_back(self, tx):
         if tx.leased is not None:
-            self.given_up += 1
+            self.released_count += 1
         tx.leased = None
 
     def cancel(self, session):
@@ -130,7 +130,7 @@
 @given("a session")
 def given_session(context):
     context.reactor = FakeReactor()
-    context.worker = FakeWorker()
+    context.executor = FakeExecutor()
     context.channel = FakeChannel()
     context.board = SessionBoard(vm="v", availability_zone="z")
     context.board.catalog = catalog(ROUTE)
@@ -139,7 +139,7 @@
         database="d",
         reactor=context.reactor,
         board=context.board,
-        executor=context.worker,
+        executor=context.executor,
         channel=context.channel,
     )
 
@@ -169,45 +169,48 @@
     context.board.catalog = catalog()
 
 
-@when("it is told to leave")
-def when_told(context):
+@when("its disconnection is requested")
+def when_disconnect_requested(context):
     context.session.request_disconnect()
     context.session.request_disconnect()
 
 
-@then("the caller has a refusal and its connection")
+@then("the caller has a refusal and stays connected")
 def then_refused(context):
     (refusal,) = context.channel.answers
-    assert word_of(refusal) == "not_run draining", refusal
+    assert outcome_text(refusal) == "not_run draining", refusal
     assert not context.channel.closed
 
 
-@when("a write that was on its way comes")
-def when_crossing(context):
+@when("a write that was in transit arrives")
+def when_in_transit(context):
     context.session.submit("id", parse_statement("WRITE a 1"))
     context.reactor.move(0)
 
 
-@then("that answer is concluded, the write has not run, and it is closed")
-def then_concluded(context):
+@then(
+    "that answer is completed, the write has not run, and the connection is"
+    " closed"
+)
+def then_completed(context):
     _, state = context.channel.answers
     assert state.value == "idle", state
-    assert not context.worker.asked
+    assert not context.executor.jobs
     assert context.channel.closed
 
 
 @then("the connection is closed and nothing has run")
 def then_closed(context):
     assert context.channel.closed
-    assert len(context.channel.answers) == 1 and not context.worker.asked
+    assert len(context.channel.answers) == 1 and not context.executor.jobs
 
 
-@when("the caller leaves")
-def when_leaves(context):
+@when("the caller disconnects")
+def when_disconnects(context):
     context.session.handle_disconnect()
 
 
-def word_of(outcome):
+def outcome_text(outcome):
     match outcome:
         case Served():
             return "served"
@@ -221,18 +224,20 @@
 @then("the answer is {word} in state {state}")
 def then_answer(context, word, state):
     answer = context.channel.answers[-1]
-    assert word_of(answer.outcome) == word, word_of(answer.outcome)
+    assert outcome_text(answer.outcome) == word, outcome_text(answer.outcome)
     assert answer.state.value == state, answer.state
 
 
 @then("no target was asked")
 def then_not_asked(context):
-    assert not context.worker.asked
+    assert not context.executor.jobs
 
 
-@then("its connection was given up")
+@then("its connection was released")
 def then_given_up(context):
-    assert context.worker.given_up == 1, context.worker.given_up
+    assert (
+        context.executor.released_count == 1
+    ), context.executor.released_count
 
 
 @then("nothing was sent meanwhile")
@@ -242,7 +247,7 @@
 
 @then("the answers are served, acknowledged and served")
 def then_order(context):
-    words = [word_of(a.outcome) for a in context.channel.answers]
+    words = [outcome_text(a.outcome) for a in context.channel.answers]
     assert words == ["served", "acknowledged", "served"], words
 
 
@@ -263,18 +268,16 @@
         buffer.feed(b"x")
     except LineTooLong:
         return
-    raise AssertionError("taken")
+    raise AssertionError("a line that is too long was accepted")
 
 
-@then("any bytes leave the parser of statements standing")
+@then("the statement parser handles any bytes")
 def then_any(context):
-    chance = random.Random(7)
+    rng = random.Random(7)
     words = ["READ", "BEGIN", "PREPARE", "SET", "EXECUTE", "AFTER", ""]
     for _ in range(5000):
-        noise = bytes(
-            chance.randrange(256) for _ in range(chance.randrange(9))
-        )
-        text = f"{chance.choice(words)} {noise.decode('latin-1')}"
+        noise = bytes(rng.randrange(256) for _ in range(rng.randrange(9)))
+        text = f"{rng.choice(words)} {noise.decode('latin-1')}"
         parse_statement(text)
 
 
@@ -284,7 +287,7 @@
 
 
 def run_listener(seconds, talk, limit):
-    """Run a listener with its reactor in this thread, a caller in another."""
+    """Run a listener with its reactor here, and a caller in a thread."""
     import threading
 
     from circuits import Component
@@ -309,7 +312,7 @@
             database=database,
             reactor=reactor,
             board=board,
-            executor=FakeWorker(),
+            executor=FakeExecutor(),
             channel=channel,
         )
 
@@ -355,7 +358,7 @@
     ], lines
 
 
-@then("a listener that stays unready says BUSY within {seconds:d} s")
+@then("a listener that stays unready answers BUSY within {seconds:d} s")
 def then_busy(context, seconds):
     async def talk(address):
         host, port = address.split(":")
@@ -367,7 +370,7 @@
     assert lines and lines[0].startswith(b"ERROR BUSY starting"), lines
 
 
-@then("each of these entries of a target is passed over")
+@then("each of these entries of a target is ignored")
 def then_passed_over(context):
     for row in context.table:
         found = Found(
@@ -392,7 +395,7 @@
 }
 
 
-@then("a good entry beside them is read")
+@then("a valid entry is read")
 def then_good(context):
     news = read_target(Found(kind="s", name="m", version=1, value=GOOD))
     assert news is not None and news.leaving and news.is_primary
@@ -403,7 +406,7 @@
     return {"meta": {"name": name, "revision": 3}, "spec": GOOD}
 
 
-@then("a list with a broken item gives the readable ones")
+@then("a list with a broken item returns the readable ones")
 def then_broken(context):
     items = [item("a"), None, 7, {"meta": {}}, "x", item("b")]
     body = json.dumps({"items": items, "hasMore": False, "currentRev": 9})
@@ -423,7 +426,7 @@
 
 
 class FakePlatform:
-    """Forgets its history at the first watch."""
+    """Loses its history at the first watch."""
 
     def __init__(self):
         self.calls = []
@@ -440,7 +443,7 @@
             on_result(HistoryLost())
 
 
-@then("a watch whose history is gone has everything read anew")
+@then("a watch whose history is gone reads everything again")
 def then_anew(context):
     platform = FakePlatform()
     watch = KindWatch(
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -33,10 +33,10 @@
     assert "bamboospring.sessions.node" in loaded
     needless = [row["module"] for row in context.table]
     found = [name for name in needless if name in loaded]
-    assert not found, f"loaded for nothing: {found}"
+    assert not found, f"loaded unnecessarily: {found}"
 
 
-@then("each of these texts gives what the full grammar gives")
+@then("each of these texts is read as by the full grammar")
 def step_same(context: Any) -> None:
     for row in context.table:
         text = row["text"].replace("\\n", "\n")
--- a/features/steps/team_quota_steps.py
+++ b/features/steps/team_quota_steps.py
@@ -1,7 +1,7 @@
-"""Steps for teams' limits: buckets, who counts, and a crowd of VMs.
+"""Steps for teams' limits: buckets, the choice of VMs that count, a crowd.
 
-The crowd is made of the real decisions, counters and clients of many VMs,
-under one clock that is only counted; links between them take a while.
+The crowd consists of the real decisions, counters and clients of many VMs
+under a simulated clock, with delayed messages between them.
 """
 
 from __future__ import annotations
@@ -49,20 +49,20 @@
 TOLERANCE = QuotaTolerance(window=WINDOW, overage=0.1, slack=20.0)
 IN_ZONE = 0.0002
 CROSS_ZONE = 0.001
-# An answer of a VM that counts may be used so long after it was asked for.
+# Seconds after a request for which the answer of a VM that counts is used.
 ANSWER_TIME = 0.12
 
 
-def most_in_window(times: list[float], window: float) -> int:
-    most, first = 0, 0
+def max_in_window(times: list[float], window: float) -> int:
+    maximum, first = 0, 0
     for last, until in enumerate(times):
         while times[first] < until - window:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
-def most_of(team: Team) -> float:
+def max_operations(team: Team) -> float:
     """Return how many operations of a team may run in one window."""
     assert team.rate is not None
     wanted = team.rate * WINDOW + team.burst
@@ -73,33 +73,33 @@
 
 
 def explore_restarts(seed: int) -> str:
-    """Play one life of a bucket; returns what is wrong with it."""
-    chance = random.Random(seed)
+    """Simulate a bucket with restarts; return a fault, or an empty text."""
+    rng = random.Random(seed)
     team = Team(
         name="t",
-        rate=chance.choice([0.5, 5.0, 50.0]),
-        burst=chance.choice([1.0, 10.0, 100.0]),
+        rate=rng.choice([0.5, 5.0, 50.0]),
+        burst=rng.choice([1.0, 10.0, 100.0]),
     )
     assert team.rate is not None
     quotas, now, restarts = TeamQuotas(), 0.0, 0
-    passed: list[float] = []
+    granted: list[float] = []
     for _ in range(400):
-        now += chance.choice([0.0, 0.01, 0.1, 1.0])
-        if chance.random() < 0.02:
+        now += rng.choice([0.0, 0.01, 0.1, 1.0])
+        if rng.random() < 0.02:
             quotas = TeamQuotas()
             restarts += 1
         allowance = quotas.grant(
-            team, chance.choice([1, 3, 30]), parts=1, now=now
+            team, rng.choice([1, 3, 30]), parts=1, now=now
         )
-        passed.extend([now] * allowance.count)
+        granted.extend([now] * allowance.count)
     for window in (0.5, WINDOW):
         allowed = team.rate * window + team.burst + 1 + restarts
-        if most_in_window(passed, window) > allowed:
-            return f"seed {seed}: {most_in_window(passed, window)}"
+        if max_in_window(granted, window) > allowed:
+            return f"seed {seed}: {max_in_window(granted, window)}"
     return ""
 
 
-@then("no explored life of restarts lets more in than rate and burst allow")
+@then("no explored sequence of restarts grants more than rate and burst allow")
 def then_no_life(context: Any) -> None:
     faults = [
         fault for seed in range(400) if (fault := explore_restarts(seed))
@@ -114,12 +114,12 @@
         assert any(explore_restarts(seed) for seed in range(400))
 
 
-# Who counts.
+# The choice of VMs that count.
 
 
 @dataclass(slots=True, kw_only=True)
-class WorldVm:
-    """A VM that reads the stored choice now and then."""
+class SimulatedVm:
+    """A VM that occasionally reads the stored choice."""
 
     vm: QuotaVm
     known: QuotaHolders | None = None
@@ -130,21 +130,21 @@
 
 
 @dataclass(slots=True)
-class CountingWorld:
-    """A store, VMs that come and go, and leaders that may be two at once.
+class CountingSimulation:
+    """A store, VMs that come and go, and possibly two leaders at once.
 
-    The store may come back from an older copy of what it held.
+    The store may be restored from an older copy.
     """
 
     seed: int
     now: float = 0.0
     stored: QuotaHolders | None = None
-    vms: list[WorldVm] = field(default_factory=list)
+    vms: list[SimulatedVm] = field(default_factory=list)
     numbers: int = 0
     era: int = 0
     states: list[QuotaHolders] = field(default_factory=list)
     revision: int = 0
-    settle: Callable[..., QuotaHolders | None] = holders_to_restore
+    choose_restored: Callable[..., QuotaHolders | None] = holders_to_restore
 
     def put(self, holders: QuotaHolders) -> None:
         self.revision += 1
@@ -152,7 +152,7 @@
         self.stored = replace(holders, version=version)
         self.states.append(self.stored)
 
-    def come_back(self, kept: int) -> None:
+    def restore(self, kept: int) -> None:
         self.states = self.states[:kept]
         self.era += 1
         self.revision = revision_of(self.states[-1].version)
@@ -163,9 +163,9 @@
         self.numbers += 1
         name = f"vm-{self.numbers}"
         listed = QuotaVm(name=name, address=f"{name}:1", availability_zone="z")
-        self.vms.append(WorldVm(vm=listed))
+        self.vms.append(SimulatedVm(vm=listed))
 
-    def read(self, vm: WorldVm) -> None:
+    def read(self, vm: SimulatedVm) -> None:
         stored = self.stored
         if stored is None:
             return
@@ -177,10 +177,10 @@
             vm.unsettled = UnsettledState(era=self.era, version=stored.version)
             vm.restored_at = self.now
 
-    def lead(self, vm: WorldVm, listed: list[QuotaVm]) -> None:
-        """Store the next step as this VM sees it, if nobody else has."""
+    def lead(self, vm: SimulatedVm, listed: list[QuotaVm]) -> None:
+        """Store the next step according to this VM, unless it is outdated."""
         if vm.known is not None and vm.unsettled is not None:
-            wanted = self.settle(
+            wanted = self.choose_restored(
                 vm.known,
                 vm.unsettled,
                 confirmed_at=vm.confirmed_at,
@@ -212,46 +212,50 @@
 def store_at_once(
     known: QuotaHolders, unsettled: UnsettledState, **_times: float
 ) -> QuotaHolders:
-    """Settle a choice without a wait, whoever does it."""
+    """Restore a choice without waiting, on any VM."""
     return replace(known, version=unsettled.version, era=unsettled.era)
 
 
-def explore_counting(
+def explore_counting_changes(
     seed: int,
     *,
-    returns: bool = False,
-    settle: Callable[..., QuotaHolders | None] = holders_to_restore,
+    restores: bool = False,
+    choose_restored: Callable[..., QuotaHolders | None] = holders_to_restore,
 ) -> str:
-    """Play one world; returns what is wrong with it."""
-    chance = random.Random(seed)
-    world = CountingWorld(seed, settle=settle)
+    """Run one simulation; return a fault, or an empty text."""
+    rng = random.Random(seed)
+    simulation = CountingSimulation(seed, choose_restored=choose_restored)
     for _ in range(5):
-        world.add()
+        simulation.add()
     for _ in range(300):
-        world.now += chance.choice([0.02, 0.2, 1.0])
-        draw = chance.random()
+        simulation.now += rng.choice([0.02, 0.2, 1.0])
+        draw = rng.random()
         if draw < 0.04:
-            world.add()
-        elif draw < 0.08 and len(world.vms) > 2:
-            # It has gone from the list but may run on, cut off.
-            world.vms.append(world.vms.pop(0))
-        elif draw < 0.11 and returns and world.states:
-            world.come_back(chance.randint(1, len(world.states)))
+            simulation.add()
+        elif draw < 0.08 and len(simulation.vms) > 2:
+            # It is no longer listed, but may still run while cut off.
+            simulation.vms.append(simulation.vms.pop(0))
+        elif draw < 0.11 and restores and simulation.states:
+            simulation.restore(rng.randint(1, len(simulation.states)))
         elif draw < 0.4:
-            world.read(chance.choice(world.vms))
+            simulation.read(rng.choice(simulation.vms))
         else:
-            some = chance.sample(world.vms, chance.randint(1, len(world.vms)))
-            world.lead(chance.choice(world.vms), [vm.vm for vm in some])
+            some = rng.sample(
+                simulation.vms, rng.randint(1, len(simulation.vms))
+            )
+            simulation.lead(rng.choice(simulation.vms), [vm.vm for vm in some])
         for team in ("a", "b", "c"):
-            # Its last answer may be used a moment later.
-            if world.counting(team, world.now) > 1:
-                return f"seed {seed}: two count at {world.now:.2f}"
+            # Its last answer may still be used shortly after.
+            if simulation.counting(team, simulation.now) > 1:
+                return f"seed {seed}: two count at {simulation.now:.2f}"
     return ""
 
 
-@then("no explored change of who counts leaves two VMs counting")
+@then("no explored change of the VMs that count leaves two counting")
 def then_never_two(context: Any) -> None:
-    faults = [f for seed in range(500) if (f := explore_counting(seed))]
+    faults = [
+        f for seed in range(500) if (f := explore_counting_changes(seed))
+    ]
     assert not faults, faults[:3]
     assert (
         quota_holders.HANDOVER_DELAY
@@ -262,16 +266,20 @@
 @then("no explored return of the store leaves two VMs counting")
 def then_never_two_after_return(context: Any) -> None:
     faults = [
-        f for seed in range(500) if (f := explore_counting(seed, returns=True))
+        f
+        for seed in range(500)
+        if (f := explore_counting_changes(seed, restores=True))
     ]
     assert not faults, faults[:3]
 
 
 @then("the exploration finds a choice that is stored anew at once by anybody")
 def then_settled_at_once_found(context: Any) -> None:
-    # Two of 5,000 worlds: the leader must have missed two steps.
+    # Two of 5,000 seeds find it: the leader must have missed two steps.
     assert any(
-        explore_counting(seed, returns=True, settle=store_at_once)
+        explore_counting_changes(
+            seed, restores=True, choose_restored=store_at_once
+        )
         for seed in (775, 3616)
     )
 
@@ -279,13 +287,15 @@
 @then("the exploration finds a restored choice that counts as it is")
 def then_restored_found(context: Any) -> None:
     with mock.patch.object(QuotaHolders, "is_current", True):
-        assert any(explore_counting(s, returns=True) for s in range(500))
+        assert any(
+            explore_counting_changes(s, restores=True) for s in range(500)
+        )
 
 
 @then("the exploration finds it when a change does not wait")
 def then_no_wait_found(context: Any) -> None:
     with mock.patch.object(quota_holders, "HANDOVER_DELAY", 0.0):
-        assert any(explore_counting(seed) for seed in range(500))
+        assert any(explore_counting_changes(seed) for seed in range(500))
 
 
 # The crowd.
@@ -316,7 +326,7 @@
                 on_answer(answer)
 
         def answered(answer: Any) -> None:
-            clock.call_later(self._way(address), lambda: once(answer))
+            clock.call_later(self._delay(address), lambda: once(answer))
 
         self._deliver(address, message, answered)
         clock.call_later(timeout, lambda: once(PeerLost(sent=True)))
@@ -325,12 +335,12 @@
         other = self.crowd.by_address[address]
 
         def arrive() -> None:
-            if other.up:
+            if other.is_running:
                 other.peers.handlers[message.which()](message, reply)
 
-        self.crowd.clock.call_later(self._way(address), arrive)
+        self.crowd.clock.call_later(self._delay(address), arrive)
 
-    def _way(self, address: str) -> float:
+    def _delay(self, address: str) -> float:
         other = self.crowd.by_address[address]
         same = other.board.availability_zone
         near = same == self.vm.board.availability_zone
@@ -338,13 +348,13 @@
 
 
 class CountingVm:
-    """One VM of the crowd: it counts for teams, and asks for its callers."""
+    """A VM of the crowd that counts for teams and asks for its callers."""
 
     def __init__(self, crowd: CountingCrowd, number: int, zone: str) -> None:
-        self.up = True
+        self.is_running = True
         clock: Any = crowd.clock
         name = f"vm-{number}"
-        self.me = QuotaVm(
+        self.quota_vm = QuotaVm(
             name=name, address=f"{name}:1", availability_zone=zone
         )
         self.board = SessionBoard(vm=name, availability_zone=zone)
@@ -353,7 +363,7 @@
             reactor=clock,
             board=self.board,
             peers=self.peers,
-            local_vm=self.me,
+            local_vm=self.quota_vm,
             confirmed_at=crowd.clock.now,
             tolerance=TOLERANCE,
         )
@@ -366,28 +376,28 @@
 
 
 class CountingCrowd:
-    """Many VMs, the teams' callers, and what was let in when."""
+    """Many VMs, the teams' callers, and the times of granted operations."""
 
     def __init__(self, count: int, zones: int) -> None:
         self.clock = FakeClock()
-        self.chance = random.Random(7)
+        self.rng = random.Random(7)
         self.vms = [
             CountingVm(self, number, f"z-{number % zones}")
             for number in range(count)
         ]
-        self.by_address = {vm.me.address: vm for vm in self.vms}
+        self.by_address = {vm.quota_vm.address: vm for vm in self.vms}
         holders = QuotaHolders(
-            version=1, vms=choose_counting_vms(vm.me for vm in self.vms)
+            version=1, vms=choose_counting_vms(vm.quota_vm for vm in self.vms)
         )
         for vm in self.vms:
             vm.board.quota_holders = holders
         self.teams: dict[str, Team] = {}
-        self.passed: dict[str, list[float]] = {}
+        self.granted: dict[str, list[float]] = {}
         self.refused: list[tuple[float, Overloaded]] = []
-        self.asked: Counter[str] = Counter()
+        self.sent_counts: Counter[str] = Counter()
 
     def listed(self) -> list[QuotaVm]:
-        return [vm.me for vm in self.vms]
+        return [vm.quota_vm for vm in self.vms]
 
     def move(self, seconds: float) -> None:
         self.clock.run_until(self.clock.now() + seconds)
@@ -406,7 +416,7 @@
         zone: str = "",
         runs: Any = lambda: True,
     ) -> None:
-        """Have a team's callers send at random VMs until an instant."""
+        """Send a team's operations at random VMs until an instant."""
         vms = [
             vm
             for vm in self.vms
@@ -416,15 +426,15 @@
         def send() -> None:
             if self.clock.now() >= until:
                 return
-            self.clock.call_later(self.chance.expovariate(rate), send)
-            alive = [vm for vm in vms if vm.up]
-            self.send(self.chance.choice(alive), team, runs)
+            self.clock.call_later(self.rng.expovariate(rate), send)
+            alive = [vm for vm in vms if vm.is_running]
+            self.send(self.rng.choice(alive), team, runs)
 
-        self.clock.call_later(self.chance.expovariate(rate), send)
+        self.clock.call_later(self.rng.expovariate(rate), send)
 
     def send(self, vm: CountingVm, team: str, runs: Any) -> None:
-        """Have one caller send one operation."""
-        self.asked[team] += 1
+        """Send one operation."""
+        self.sent_counts[team] += 1
         sent_at = self.clock.now()
 
         def admitted(result: Permit | Overloaded) -> None:
@@ -432,19 +442,19 @@
             if isinstance(result, Overloaded):
                 self.refused.append((now - sent_at, result))
             elif runs():
-                self.passed.setdefault(team, []).append(now)
+                self.granted.setdefault(team, []).append(now)
             else:
                 vm.client.return_permit(result)
 
         vm.client.request_permit(team, admitted)
 
-    def share(self, team: str, since: float, until: float) -> float:
-        """Return how much was let in of what a team sent and may run."""
+    def granted_share(self, team: str, since: float, until: float) -> float:
+        """Return the granted fraction of what a team sent within its limit."""
         rate = self.teams[team].rate
         assert rate is not None
-        count = sum(since <= at < until for at in self.passed[team])
+        count = sum(since <= at < until for at in self.granted[team])
         may = rate * (until - since)
-        return count / min(may, self.asked[team])
+        return count / min(may, self.sent_counts[team])
 
 
 @given("{count:d} VMs in {zones:d} zones that count teams")
@@ -465,8 +475,8 @@
     crowd.load("hot", rate * times, began + seconds)
     crowd.load("calm", 10, began + seconds)
     crowd.move(seconds + 1.0)
-    context.shares = [crowd.share("hot", began, began + seconds)]
-    context.calm = crowd.share("calm", began, began + seconds)
+    context.shares = [crowd.granted_share("hot", began, began + seconds)]
+    context.calm = crowd.granted_share("calm", began, began + seconds)
 
 
 @when("all callers of a team are in one zone and send its limit")
@@ -477,10 +487,10 @@
     began = crowd.clock.now()
     crowd.load("hot", 50, began + 20, zone="z-1")
     crowd.move(21.0)
-    context.shares = [crowd.share("hot", began, began + 20)]
+    context.shares = [crowd.granted_share("hot", began, began + 20)]
 
 
-@when("{teams:d} teams send what they may and {lost:d} VMs are lost")
+@when("{teams:d} teams send at their limits and {lost:d} VMs are lost")
 def when_lost(context: Any, teams: int, lost: int) -> None:
     crowd = context.crowd
     names = [f"team-{number}" for number in range(teams)]
@@ -491,10 +501,10 @@
     for name in names:
         crowd.load(name, 20, began + 10)
     crowd.move(2.0)
-    for vm in crowd.chance.sample(crowd.vms, lost):
-        vm.up = False
+    for vm in crowd.rng.sample(crowd.vms, lost):
+        vm.is_running = False
     crowd.move(9.0)
-    shares = [crowd.share(name, began, began + 10) for name in names]
+    shares = [crowd.granted_share(name, began, began + 10) for name in names]
     context.shares = [sum(shares) / len(shares)]
 
 
@@ -504,10 +514,10 @@
     crowd.limit("hot", 50)
     crowd.move(5.0)
     began = crowd.clock.now()
-    toss = crowd.chance.random
+    toss = crowd.rng.random
     crowd.load("hot", 100, began + 20, runs=lambda: toss() < 0.5)
     crowd.move(21.0)
-    context.shares = [crowd.share("hot", began, began + 20)]
+    context.shares = [crowd.granted_share("hot", began, began + 20)]
 
 
 @when("the limit of a team that sends its limit is halved")
@@ -522,36 +532,36 @@
     crowd.move(16.0)
 
 
-@then("at least {share:f} of what it may is let in")
-@then("at least {share:f} of what they may is let in")
+@then("at least {share:f} of its limit is granted")
+@then("at least {share:f} of their limits is granted")
 def then_share(context: Any, share: float) -> None:
     assert min(context.shares) >= share, context.shares
 
 
-@then("no span lets in more than its limit")
+@then("no span grants more than its limit")
 def then_no_span(context: Any) -> None:
     crowd = context.crowd
-    for name, times in crowd.passed.items():
+    for name, times in crowd.granted.items():
         team = crowd.teams[name]
         assert team.rate is not None
-        assert most_in_window(times, WINDOW) <= most_of(team), name
+        assert max_in_window(times, WINDOW) <= max_operations(team), name
 
 
-@then("no span after that lets in more than the lower limit")
+@then("no span after that grants more than the lower limit")
 def then_lower(context: Any) -> None:
     crowd = context.crowd
-    times = [at for at in crowd.passed["hot"] if at > context.halved_at + 0.1]
-    assert most_in_window(times, WINDOW) <= most_of(crowd.teams["hot"])
+    times = [at for at in crowd.granted["hot"] if at > context.halved_at + 0.1]
+    assert max_in_window(times, WINDOW) <= max_operations(crowd.teams["hot"])
 
 
-@then("each refusal comes within {ms:d} ms and says when to come back")
+@then("each refusal comes within {ms:d} ms with a retry delay")
 def then_refusals(context: Any, ms: int) -> None:
     for took, refusal in context.crowd.refused:
         assert took <= ms / 1000, took
         assert refusal.retry_after_ms >= 30, refusal
 
 
-@then("what another team sends is let in")
+@then("the operations of another team are granted")
 def then_calm(context: Any) -> None:
     assert context.calm >= 0.99, context.calm
 
@@ -561,16 +571,18 @@
     crowd = context.crowd
     crowd.limit("t", 50)
     counting = [
-        vm for vm in crowd.vms if vm.me in choose_counting_vms(crowd.listed())
+        vm
+        for vm in crowd.vms
+        if vm.quota_vm in choose_counting_vms(crowd.listed())
     ]
     for vm in counting:
-        vm.up = False
-    others = [vm for vm in crowd.vms if vm.up]
-    for vm in crowd.chance.sample(others, 4):
+        vm.is_running = False
+    others = [vm for vm in crowd.vms if vm.is_running]
+    for vm in crowd.rng.sample(others, 4):
         crowd.send(vm, "t", lambda: True)
     crowd.move(seconds)
     for vm in counting:
-        vm.up = True
+        vm.is_running = True
     crowd.move(1.0)
 
 
@@ -579,7 +591,7 @@
     crowd = context.crowd
     crowd.refused.clear()
     for vm in crowd.vms:
-        vm.up = vm.me not in choose_counting_vms(crowd.listed())
+        vm.is_running = vm.quota_vm not in choose_counting_vms(crowd.listed())
     crowd.load("t", 40, crowd.clock.now() + 1.0)
     crowd.move(2.0)
     assert crowd.refused
@@ -589,10 +601,12 @@
 def then_nothing(context: Any) -> None:
     crowd = context.crowd
     assert not crowd.refused, crowd.refused
-    assert sum(map(len, crowd.passed.values())) == sum(crowd.asked.values())
+    assert sum(map(len, crowd.granted.values())) == sum(
+        crowd.sent_counts.values()
+    )
 
 
-@then("these ends return an operation, and no others")
+@then("these outcomes return an operation, and no others")
 def then_ends(context: Any) -> None:
     for row in context.table:
         end = getattr(outcomes, row["outcome"])(
--- a/features/steps/zone_holders_steps.py
+++ b/features/steps/zone_holders_steps.py
@@ -1,7 +1,7 @@
-"""Steps for reads that VMs of a zone pass on to the holder of a target.
+"""Steps for statements that VMs of a zone forward to a target's holder.
 
-The crowd is made of the real decisions, pools and runners of many VMs, under
-one clock that is only counted. The target and the network are simulated.
+The crowd consists of the real decisions, pools and runners of many VMs under a
+simulated clock. The target and the network are simulated.
 """
 
 from __future__ import annotations
@@ -68,8 +68,8 @@
 from bamboospring.target_link import OpenFailed
 from features.steps.unanswered_steps import FakeClock
 
-HOP = 0.0005
-OPENING = 0.012
+HOP_SECONDS = 0.0005
+OPENING_SECONDS = 0.012
 ROUTE = Route(
     name="r",
     database="d",
@@ -85,29 +85,34 @@
 
 
 class FakeTarget:
-    """A primary with slots and places; whoever finds no slot is told so."""
+    """A primary with limited slots and connections.
 
-    def __init__(self, clock: FakeClock, slots: int, places: int) -> None:
+    It refuses statements that find no slot.
+    """
+
+    def __init__(
+        self, clock: FakeClock, slots: int, connection_limit: int
+    ) -> None:
         self.clock = clock
         self.slots = slots
-        self.places = places
-        self.busy = 0
+        self.connection_limit = connection_limit
+        self.slots_in_use = 0
         self.connections = 0
         self.opened = 0
-        self.work = 0.02
-        self.ran: Counter[str] = Counter()
+        self.run_time = 0.02
+        self.run_counts: Counter[str] = Counter()
 
-    def take(self, seconds: float, done: Any, refused: Any) -> None:
-        if self.busy >= self.slots:
-            self.clock.call_later(HOP, refused)
+    def occupy_slot(self, seconds: float, done: Any, refused: Any) -> None:
+        if self.slots_in_use >= self.slots:
+            self.clock.call_later(HOP_SECONDS, refused)
             return
-        self.busy += 1
+        self.slots_in_use += 1
 
         def over() -> None:
-            self.busy -= 1
+            self.slots_in_use -= 1
             done()
 
-        self.clock.call_later(HOP + seconds, over)
+        self.clock.call_later(HOP_SECONDS + seconds, over)
 
 
 @dataclass(eq=False)
@@ -127,15 +132,15 @@
             self.closed, self.usable = True, False
             self.target.connections -= 1
 
-    def send(self, orders: Any, timeout: float, on_done: Any) -> None:
+    def send(self, orders: Any, timeout: float, on_complete: Any) -> None:
         id = getattr(orders[0], "id", "-")
 
         def answer(reply: TargetReply) -> None:
-            if self.vm.up:
-                on_done([reply])
+            if self.vm.is_running:
+                on_complete([reply])
 
         def done() -> None:
-            self.target.ran[id] += 1
+            self.target.run_counts[id] += 1
             answer(
                 TargetReply(signature="s", position=Position(term=1, index=1))
             )
@@ -143,7 +148,7 @@
         def refused() -> None:
             answer(TargetReply(refusal=Refusal.BUSY))
 
-        self.target.take(self.target.work, done, refused)
+        self.target.occupy_slot(self.target.run_time, done, refused)
 
 
 class FakeDialer:
@@ -153,13 +158,13 @@
         self.target = target
         self.vm = vm
 
-    def open(self, team: str, timeout: float, on_done: Any) -> None:
+    def open(self, team: str, timeout: float, on_complete: Any) -> None:
         target, clock = self.target, self.target.clock
-        if not self.vm.reaches_target:
-            clock.call_later(timeout, lambda: on_done(OpenFailed()))
-        elif target.connections >= target.places:
+        if not self.vm.can_reach_target:
+            clock.call_later(timeout, lambda: on_complete(OpenFailed()))
+        elif target.connections >= target.connection_limit:
             full = OpenFailed(full=True)
-            clock.call_later(HOP, lambda: on_done(full))
+            clock.call_later(HOP_SECONDS, lambda: on_complete(full))
         else:
             target.connections += 1
             target.opened += 1
@@ -167,13 +172,17 @@
             opened = Opened(link=link)
 
             def again() -> None:
-                # A new connection waits for a slot to greet in.
-                target.take(OPENING, lambda: on_done(opened), again)
+                # A new connection needs a slot to open its session.
+                target.occupy_slot(
+                    OPENING_SECONDS, lambda: on_complete(opened), again
+                )
 
             again()
 
-    def check(self, link: FakeLink, timeout: float, on_done: Any) -> None:
-        self.target.clock.call_later(HOP, lambda: on_done(Health.ALIVE))
+    def check(self, link: FakeLink, timeout: float, on_complete: Any) -> None:
+        self.target.clock.call_later(
+            HOP_SECONDS, lambda: on_complete(Health.ALIVE)
+        )
 
     def end(self, number: int) -> None:
         pass
@@ -186,11 +195,13 @@
         self.crowd = crowd
         self.vm = vm
         self.handlers: dict[str, Any] = {}
-        self.owed: dict[str, list[float]] = {}
+        self.unanswered: dict[str, list[float]] = {}
 
     def unresponsive_for(self, address: str) -> float | None:
         now = self.crowd.clock.now()
-        return max((now - at for at in self.owed.get(address, [])), default=0)
+        return max(
+            (now - at for at in self.unanswered.get(address, [])), default=0
+        )
 
     def add_handler(self, which: str, callback: Any) -> None:
         self.handlers[which] = callback
@@ -203,26 +214,26 @@
     ) -> None:
         clock = self.crowd.clock
         pending = [on_answer]
-        owed = self.owed.setdefault(address, [])
+        unanswered = self.unanswered.setdefault(address, [])
         asked_at = clock.now()
-        owed.append(asked_at)
+        unanswered.append(asked_at)
 
         def once(answer: Any) -> None:
             if not pending:
                 return
-            owed.remove(asked_at)
-            on_done = pending.pop()
-            if self.vm.up:
-                on_done(answer)
+            unanswered.remove(asked_at)
+            on_complete = pending.pop()
+            if self.vm.is_running:
+                on_complete(answer)
 
         other = self.crowd.by_address[address]
-        if not other.up:
+        if not other.is_running:
             lost = PeerLost(sent=False)
             clock.call_later(0.002, lambda: once(lost))
             return
-        silent = PeerLost(sent=True)
-        clock.call_later(timeout, lambda: once(silent))
-        other.waiting.append(lambda: once(silent))
+        no_answer = PeerLost(sent=True)
+        clock.call_later(timeout, lambda: once(no_answer))
+        other.pending_answers.append(lambda: once(no_answer))
         self._deliver(address, message, once)
 
     def _deliver(self, address: str, message: Any, on_answer: Any) -> None:
@@ -230,31 +241,33 @@
         clock = self.crowd.clock
 
         def reply(answer: Any) -> None:
-            if other.up:
-                clock.call_later(HOP, lambda: on_answer(answer))
+            if other.is_running:
+                clock.call_later(HOP_SECONDS, lambda: on_answer(answer))
 
         def arrive() -> None:
-            if other.up:
+            if other.is_running:
                 other.peers.handlers[message.which()](message, reply)
 
-        clock.call_later(HOP, arrive)
+        clock.call_later(HOP_SECONDS, arrive)
 
 
 class CrowdVm:
     """One VM of the crowd."""
 
     def __init__(self, crowd: Crowd, number: int, zone: str) -> None:
-        self.up = True
-        self.reaches_target = True
-        self.waiting: list[Any] = []
-        self.listed = ZoneVm(name=f"vm-{number}", address=f"vm-{number}:1")
+        self.is_running = True
+        self.can_reach_target = True
+        self.pending_answers: list[Any] = []
+        self.zone_vm = ZoneVm(name=f"vm-{number}", address=f"vm-{number}:1")
         self.zone = zone
         self.peers: Any = FakePeers(crowd, self)
         clock: Any = crowd.clock
         self.runner_clock = clock
-        self.board = SessionBoard(vm=self.listed.name, availability_zone=zone)
+        self.board = SessionBoard(vm=self.zone_vm.name, availability_zone=zone)
         self.board.vm_count = crowd.count
-        limits = GroupLimits(name="g", max_connections=crowd.target.places)
+        limits = GroupLimits(
+            name="g", max_connections=crowd.target.connection_limit
+        )
         self.board.catalog = Catalog(
             version=1, routes={"d": ROUTE}, groups={"g": limits}
         )
@@ -273,9 +286,9 @@
                 connections=LINK_TIMING,
                 breaker=LINK_BREAKER,
             ),
-            random_float=crowd.chance.random,
+            random_float=crowd.rng.random,
         )
-        self.holders = ZoneHolders(local_vm=self.listed.name)
+        self.holders = ZoneHolders(local_vm=self.zone_vm.name)
         self.server = HolderServer(
             reactor=clock,
             board=self.board,
@@ -313,8 +326,8 @@
             board=self.board,
             peers=self.peers,
             local_vm=QuotaVm(
-                name=self.listed.name,
-                address=self.listed.address,
+                name=self.zone_vm.name,
+                address=self.zone_vm.address,
                 availability_zone=self.zone,
             ),
             confirmed_at=self.runner_clock.now,
@@ -327,44 +340,48 @@
             counter=counter,
         )
 
-    def die(self) -> None:
-        self.up = False
-        waiting, self.waiting = self.waiting, []
+    def fail(self) -> None:
+        self.is_running = False
+        waiting, self.pending_answers = self.pending_answers, []
         for lost in waiting:
             lost()
 
 
 class Crowd:
-    """Many VMs before one target."""
+    """Many VMs that use one target."""
 
     def __init__(
-        self, count: int, zones: int, slots: int, places: int
+        self, count: int, zones: int, slots: int, connection_limit: int
     ) -> None:
         self.clock = FakeClock()
-        self.chance = random.Random(1)
+        self.rng = random.Random(1)
         self.count = count
-        self.target = FakeTarget(self.clock, slots, places)
+        self.target = FakeTarget(self.clock, slots, connection_limit)
         self.vms = [
             CrowdVm(self, number, f"z-{number % zones}")
             for number in range(count)
         ]
-        self.by_address = {vm.listed.address: vm for vm in self.vms}
+        self.by_address = {vm.zone_vm.address: vm for vm in self.vms}
         self.outcomes: Counter[str] = Counter()
-        self.asked = 0
+        self.sent_count = 0
         self.numbers = itertools.count()
-        self.told: dict[str, str] = {}
+        self.reported_outcome: dict[str, str] = {}
         self.writes, self.teams = 0.0, 1
         self.opened_before = 0
         self.refresh()
 
     def refresh(self) -> None:
-        """Have all VMs know who is there and that the primary is proven."""
+        """Update all VMs' lists of VMs and proofs of the primary."""
         now = self.clock.now()
         self.clock.call_later(0.5, self.refresh)
         for vm in self.vms:
             vm.board.group("g").proof.renew(now)
             vm.holders.update_members(
-                [v.listed for v in self.vms if v.up and v.zone == vm.zone],
+                [
+                    v.zone_vm
+                    for v in self.vms
+                    if v.is_running and v.zone == vm.zone
+                ],
                 now,
             )
             vm.keeper.apply_connection_limits()
@@ -372,30 +389,30 @@
     def load(
         self, rate: float, seconds: float, *, writes: float = 0.0, teams=1
     ) -> None:
-        """Have callers of some teams ask; a part of it are writes.
+        """Send statements of callers of several teams, some of them writes.
 
         The first team sends most, each further one less.
         """
         self.writes, self.teams = writes, teams
         self.outcomes.clear()
-        self.told.clear()
-        self.asked = 0
+        self.reported_outcome.clear()
+        self.sent_count = 0
         self.opened_before = self.target.opened
         end = self.clock.now() + seconds
         while self.clock.now() < end:
-            wait = self.chance.expovariate(rate)
+            wait = self.rng.expovariate(rate)
             self.clock.run_until(self.clock.now() + wait)
             self.ask()
         self.clock.run_until(end + ROUTE.time_limit + 0.1)
 
     def ask(self) -> None:
-        vm = self.chance.choice([vm for vm in self.vms if vm.up])
+        vm = self.rng.choice([vm for vm in self.vms if vm.is_running])
         clock: Any = self.clock
         number = next(self.numbers)
-        self.asked += 1
+        self.sent_count += 1
         team = ""
         if self.teams > 1:
-            place = int(self.chance.paretovariate(0.8)) % self.teams
+            place = int(self.rng.paretovariate(0.8)) % self.teams
             team = f"team-{place}"
         session = Session(
             caller=f"caller {number % 400}",
@@ -408,7 +425,7 @@
         )
         job = Job(
             id=str(number),
-            writes=self.chance.random() < self.writes,
+            writes=self.rng.random() < self.writes,
             route=ROUTE,
             received_at=self.clock.now(),
             text="READ a",
@@ -418,12 +435,12 @@
             served = isinstance(outcome, Served)
             self.outcomes["served" if served else outcome.reason.value] += 1
             if job.writes:
-                self.told[job.id] = type(outcome).__name__
+                self.reported_outcome[job.id] = type(outcome).__name__
 
         vm.runner.run(session, job, None, ended)
 
 
-@given("{count:d} VMs of a zone that were heard lately")
+@given("{count:d} VMs of a zone that were in contact recently")
 def given_zone(context: Any, count: int) -> None:
     context.zone = [
         ZoneVm(name=f"vm-{n}", address=f"vm-{n}:1") for n in range(count)
@@ -462,7 +479,7 @@
 )
 def then_agree(context: Any, targets: int, connections: int, vms: int) -> None:
     found = holder_names(context, targets, connections, vms)
-    # The holder itself uses its own connections.
+    # The holder uses its own connections.
     assert all(len(names - {"itself"}) == 1 for names in found), found
     held = [name for names in found for name in names - {"itself"}]
     context.held = Counter(held)
@@ -499,7 +516,7 @@
     assert view.holder("t", max_connections=34, vm_count=68, now=age) is None
 
 
-def other_than_holders(context: Any) -> ZoneHolders:
+def view_with_other_holder(context: Any) -> ZoneHolders:
     names = [view_of(context, vm) for vm in context.zone]
     return next(
         view
@@ -511,7 +528,7 @@
 
 @then("a VM whose holder failed asks the next one for {seconds:g} s")
 def then_next(context: Any, seconds: float) -> None:
-    view = context.view = other_than_holders(context)
+    view = context.view = view_with_other_holder(context)
     first = view.holder("t", max_connections=34, vm_count=68, now=1.0)
     view.record_failure(first.name, "", 1.0)
     second = view.holder("t", max_connections=34, vm_count=68, now=1.1)
@@ -520,7 +537,7 @@
     assert view.holder("t", max_connections=34, vm_count=68, now=late) == first
 
 
-@then("a VM whose next one failed too uses its own")
+@then("a VM whose second holder failed too uses its own")
 def then_none_left(context: Any) -> None:
     view = context.view
     for at in (2.0, 2.1):
@@ -532,43 +549,43 @@
 
 @given(
     "{count:d} VMs in {zones:d} zones before a target of {slots:d} slots and"
-    " {places:d} connections"
+    " {connections:d} connections"
 )
 def given_crowd(
-    context: Any, count: int, zones: int, slots: int, places: int
+    context: Any, count: int, zones: int, slots: int, connections: int
 ) -> None:
-    context.crowd = Crowd(count, zones, slots, places)
+    context.crowd = Crowd(count, zones, slots, connections)
 
 
-@when("reads of {work:d} ms come at {rate:g} a second for {seconds:g} s")
+@when("reads of {work:d} ms arrive at {rate:g} a second for {seconds:g} s")
 def when_load(context: Any, work: int, rate: float, seconds: float) -> None:
-    context.crowd.target.work = work / 1000
+    context.crowd.target.run_time = work / 1000
     context.crowd.load(rate, seconds)
 
 
-@when("{seconds:g} s goes by in the crowd")
+@when("{seconds:g} s passes in the crowd")
 def when_crowd_time(context: Any, seconds: float) -> None:
     clock = context.crowd.clock
     clock.run_until(clock.now() + seconds)
 
 
-@when("a third of the VMs die")
+@when("a third of the VMs are lost")
 def when_third_dies(context: Any) -> None:
     for vm in context.crowd.vms[::3]:
-        vm.die()
+        vm.fail()
 
 
 @when("holders can't reach the target")
 def when_cut(context: Any) -> None:
     for vm in context.crowd.vms:
-        vm.reaches_target = not vm.holders.holds("t", 0.0)
+        vm.can_reach_target = not vm.holders.holds("t", 0.0)
 
 
 @then("at least {share:g} of them are served")
 def then_served(context: Any, share: float) -> None:
     crowd = context.crowd
-    assert sum(crowd.outcomes.values()) == crowd.asked, crowd.outcomes
-    part = crowd.outcomes["served"] / crowd.asked
+    assert sum(crowd.outcomes.values()) == crowd.sent_count, crowd.outcomes
+    part = crowd.outcomes["served"] / crowd.sent_count
     assert part >= share, (part, crowd.outcomes)
 
 
@@ -576,7 +593,7 @@
 def then_few_opened(context: Any, part: float) -> None:
     crowd = context.crowd
     opened = crowd.target.opened - crowd.opened_before
-    assert opened <= part * crowd.asked, (opened, crowd.asked)
+    assert opened <= part * crowd.sent_count, (opened, crowd.sent_count)
 
 
 @given("a limit of {most:d} that refusals at {times} have lowered")
@@ -650,7 +667,7 @@
 )
 
 
-@then("{count:d} generated reads and results are the same after the way")
+@then("{count:d} generated reads and results are the same after decoding")
 def then_same(context: Any, count: int) -> None:
     @settings(max_examples=count, derandomize=True, deadline=None)
     @for_all(READS, RESULTS)
@@ -662,37 +679,41 @@
 
 
 @when(
-    "statements of {ms:d} ms of {teams:d} teams come at {rate:d} a second for"
-    " {seconds:d} s, {writes:d} of 10 of them writes"
+    "statements of {ms:d} ms of {teams:d} teams arrive at {rate:d} a second"
+    " for {seconds:d} s, {writes:d} of 10 of them writes"
 )
 def when_statements(
     context: Any, ms: int, teams: int, rate: int, seconds: int, writes: int
 ) -> None:
     crowd = context.crowd
-    crowd.target.work = ms / 1000
+    crowd.target.run_time = ms / 1000
     crowd.load(rate, seconds, writes=writes / 10, teams=teams)
 
 
-@when("holders die one after the other while writes come")
+@when("holders are lost one after another while writes arrive")
 def when_dying(context: Any) -> None:
     crowd = context.crowd
 
     def kill_one() -> None:
         now = crowd.clock.now()
-        holders = [v for v in crowd.vms if v.up and v.holders.holds("t", now)]
-        crowd.chance.choice(holders).die()
+        holders = [
+            v for v in crowd.vms if v.is_running and v.holders.holds("t", now)
+        ]
+        crowd.rng.choice(holders).fail()
 
     for number in range(8):
         crowd.clock.call_later(0.6 * number + 0.1, kill_one)
     crowd.load(120, 5, writes=1.0, teams=8)
 
 
-@then("no write ran twice and each outcome is true")
+@then("no write ran twice and each outcome is correct")
 def then_true(context: Any) -> None:
     crowd = context.crowd
-    ran = crowd.target.ran
-    assert len(crowd.told) > 100
-    for id, told in crowd.told.items():
-        allowed = {"Served": (1,), "Unknown": (0, 1)}.get(told, (0,))
-        assert ran[id] in allowed, (id, told, ran[id])
-    assert "Unknown" in crowd.told.values()
+    ran = crowd.target.run_counts
+    assert len(crowd.reported_outcome) > 100
+    for id, reported_outcome in crowd.reported_outcome.items():
+        allowed = {"Served": (1,), "Unknown": (0, 1)}.get(
+            reported_outcome, (0,)
+        )
+        assert ran[id] in allowed, (id, reported_outcome, ran[id])
+    assert "Unknown" in crowd.reported_outcome.values()
