--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -487,12 +487,12 @@
     )
     context.clock.run_until(107.0)
     keeper = context.vm.keeper
-    keeper.take_relayed(2, 106.9, 106.8, 107.5)
+    keeper.apply_relayed(2, 106.9, 106.8, 107.5)
     refused = Unavailable(maybe_applied=False, retry_after=0.1)
     context.vm.platform.calls.pop()(refused)
     assert keeper.refresh_failed
     data = other.keeper.as_bytes()
-    keeper.take_relayed(2, 106.9, 106.8, 107.5, data)
+    keeper.apply_relayed(2, 106.9, 106.8, 107.5, data)
     assert not keeper.refresh_failed
 
 
