--- a/bamboospring/sessions/node.py
+++ b/bamboospring/sessions/node.py
@@ -312,7 +312,7 @@
             board=self.board,
             callers=self.callers,
             grace=cfg.timing.grace_ms / 1000,
-            blocks_others=self.leader.lease.blocks_others,
+            blocking_count=self.leader.lease.blocks_others,
         ).register(self)
 
     def _on_primary_failed(self, group: str, primary: str) -> None:
@@ -377,9 +377,9 @@
         )
 
     def _answer_readiness(
-        self, req: Request, respond: Callable[[Response], None]
+        self, request: Request, respond: Callable[[Response], None]
     ) -> None:
-        if req.path.partition("?")[0] != self.adapters.readiness_path:
+        if request.path.partition("?")[0] != self.adapters.readiness_path:
             respond(Response(status=HTTPStatus.NOT_FOUND))
             return
         reason = unready_reason(self.board, self.reactor.now())
@@ -388,9 +388,9 @@
         respond(Response(status=status))
 
     def _answer_metrics(
-        self, req: Request, respond: Callable[[Response], None]
+        self, request: Request, respond: Callable[[Response], None]
     ) -> None:
-        if req.path.partition("?")[0] != "/metrics":
+        if request.path.partition("?")[0] != "/metrics":
             respond(Response(status=HTTPStatus.NOT_FOUND))
             return
         text = self.metrics.text()
--- a/bamboospring/sessions/session.py
+++ b/bamboospring/sessions/session.py
@@ -154,7 +154,7 @@
     prepared_shapes: dict[str, Shape] = field(default_factory=dict)
     state: SessionState = SessionState.IDLE
     last_commit: Position = Position()
-    busy: bool = False
+    is_busy: bool = False
     disconnected: bool = False
     disconnect_requested: bool = False
     last_used_at: float = field(init=False)
@@ -183,7 +183,7 @@
     def is_idle(self) -> bool:
         """Return whether nothing is pending and no transaction is open."""
         return (
-            not self.busy
+            not self.is_busy
             and not self._pending
             and self.state is SessionState.IDLE
         )
@@ -199,7 +199,7 @@
                 id=id, statement=statement, received_at=self.reactor.now()
             )
         )
-        if not self.busy:
+        if not self.is_busy:
             self._handle_next()
 
     def handle_disconnect(self) -> None:
@@ -210,7 +210,7 @@
         self._pending.clear()
         self._stop_timer()
         self.executor.cancel(self)
-        if not self.busy:
+        if not self.is_busy:
             self._drop_transaction()
 
     def request_disconnect(self) -> None:
@@ -235,7 +235,7 @@
         without a request would be taken for that answer.
         """
         tx = self.transaction
-        if tx is None or tx.lost_reason is not None or self.busy:
+        if tx is None or tx.lost_reason is not None or self.is_busy:
             return
         tx.lost_reason = reason
         self.executor.roll_back(tx)
@@ -243,10 +243,10 @@
     # Handling of statements, one at a time.
 
     def _handle_next(self) -> None:
-        while self._pending and not self.busy and not self.disconnected:
+        while self._pending and not self.is_busy and not self.disconnected:
             pending = self._pending.popleft()
             self._stop_timer()
-            self.busy = True
+            self.is_busy = True
             self._handle(pending)
 
     def _handle(self, pending: _Pending) -> None:
@@ -258,7 +258,7 @@
             case Prepare():
                 self._prepare(pending.statement)
             case Deallocate(name=name):
-                self._release(name)
+                self._deallocate(name)
             case MalformedStatement(message=message):
                 self._reject(message)
             case _ if self.state is SessionState.FAILED:
@@ -293,7 +293,7 @@
             lambda: self.prepared_shapes.__setitem__(name, shape)
         )
 
-    def _release(self, name: str) -> None:
+    def _deallocate(self, name: str) -> None:
         if (
             name not in self.prepared_shapes
             and self.state is not SessionState.FAILED
@@ -462,7 +462,7 @@
     def _answer(
         self, outcome: SessionOutcome, position: Position | None = None
     ) -> None:
-        self.busy = False
+        self.is_busy = False
         self.last_used_at = self.reactor.now()
         if self.disconnected:
             self._drop_transaction()
@@ -478,7 +478,7 @@
             self.reactor.call_later(0, self._resume)
 
     def _resume(self) -> None:
-        if not self.busy:
+        if not self.is_busy:
             self._handle_next()
 
     # Ending transactions.
--- a/bamboospring/sessions/session_opening.py
+++ b/bamboospring/sessions/session_opening.py
@@ -18,7 +18,7 @@
 # waiting. It usually takes 0.2 s until the process can serve them. If it
 # refused them, they would find that other VMs are starting as well. Callers
 # wait 2 s for the answer.
-MAX_WAIT = 1.0
+MAX_OPENING_WAIT = 1.0
 # Seconds between two checks of a waiting caller; short compared to the 0.2 s.
 RECHECK_DELAY = 0.01
 RETRY_MS = 500
@@ -64,7 +64,7 @@
     identity = identify(board.catalog, credential)
     match access_refusal(board, route, identity, now):
         case Overloaded() as refusal:
-            can_wait = running <= STARTUP_DURATION and held < MAX_WAIT
+            can_wait = running <= STARTUP_DURATION and held < MAX_OPENING_WAIT
             return OpeningPending() if can_wait else refusal
         case NotRun() as refusal:
             return refusal
@@ -77,6 +77,6 @@
 
 
 def _wait_or_refuse(held: float) -> OpeningPending | Overloaded:
-    if held < MAX_WAIT:
+    if held < MAX_OPENING_WAIT:
         return OpeningPending()
     return Overloaded(reason=Reason.STARTING, retry_after_ms=RETRY_MS)
--- a/bamboospring/sessions/session_shutdown.py
+++ b/bamboospring/sessions/session_shutdown.py
@@ -104,14 +104,14 @@
         board: SessionBoard,
         callers: CallerListener,
         grace: float,
-        blocks_others: Callable[[], int],
+        blocking_count: Callable[[], int],
     ) -> None:
         super().__init__()
         self._reactor = reactor
         self._board = board
         self._callers = callers
         self._grace = grace
-        self._blocks_others = blocks_others
+        self._blocking_count = blocking_count
         self._plan: DrainPlan | None = None
         self._transactions_ended = False
 
@@ -147,7 +147,7 @@
         phase = drain_phase(
             self._plan,
             now=now,
-            work=active_count + self._blocks_others(),
+            work=active_count + self._blocking_count(),
             connections=len(sessions),
         )
         if phase is DrainPhase.FAREWELL:
--- a/bamboospring/sessions/target_choice.py
+++ b/bamboospring/sessions/target_choice.py
@@ -82,29 +82,29 @@
 def choose_target(
     group: SessionGroup,
     route: Route,
-    needs: TargetRequirements,
+    requirements: TargetRequirements,
     *,
     zone: str,
     now: float,
 ) -> TargetChoice:
     """Choose the target of one statement."""
-    if needs.at_primary or route.freshness is Freshness.PRIMARY:
-        return _choose_primary(group, needs, now)
+    if requirements.at_primary or route.freshness is Freshness.PRIMARY:
+        return _choose_primary(group, requirements, now)
     after = None
     if route.max_age is not None:
-        since = needs.received_at - route.max_age + AGE_MARGIN
+        since = requirements.received_at - route.max_age + AGE_MARGIN
         after = required_position(
-            group.samples, since=since, last_commit=needs.last_commit
+            group.samples, since=since, last_commit=requirements.last_commit
         )
     if after is None:
-        return _choose_primary(group, needs, now)
+        return _choose_primary(group, requirements, now)
     candidates = [
         listed
         for listed in group.targets.values()
-        if _can_read(group, listed, needs, after, now)
+        if _can_read(group, listed, requirements, after, now)
     ]
     if not candidates:
-        return _choose_without_replica(group, needs, after, now)
+        return _choose_without_replica(group, requirements, after, now)
     best = min(candidates, key=lambda listed: _read_cost(group, listed, zone))
     return SendTo(
         news=best,
@@ -123,22 +123,25 @@
 
 
 def _choose_primary(
-    group: SessionGroup, needs: TargetRequirements, now: float
+    group: SessionGroup, requirements: TargetRequirements, now: float
 ) -> TargetChoice:
     listed = group.primary()
     if listed is None:
         return NoTarget(reason=Reason.NO_PRIMARY)
     if now >= listed.usable_until:
         return NoTarget(reason=Reason.TARGET_LEAVING)
-    if not group.proof.covers(needs.received_at):
+    if not group.proof.covers(requirements.received_at):
         return NoTarget(reason=Reason.PRIMARY_CHANGED)
-    if listed.target.name in needs.excluded:
+    if listed.target.name in requirements.excluded:
         return NoTarget(reason=Reason.TARGET_UNREACHABLE)
     return SendTo(news=listed, after=None, at_replica=False)
 
 
 def _choose_without_replica(
-    group: SessionGroup, needs: TargetRequirements, after: Position, now: float
+    group: SessionGroup,
+    requirements: TargetRequirements,
+    after: Position,
+    now: float,
 ) -> TargetChoice:
     """Return the primary for a read that no other target can serve.
 
@@ -147,7 +150,7 @@
     """
     record = group.record
     listed = group.targets.get(record.primary) if record is not None else None
-    if listed is None or listed.target.name in needs.excluded:
+    if listed is None or listed.target.name in requirements.excluded:
         return NoTarget(reason=Reason.STALE)
     if now >= listed.usable_until:
         return NoTarget(reason=Reason.TARGET_LEAVING)
@@ -157,12 +160,12 @@
 def _can_read(
     group: SessionGroup,
     listed: ListedTarget,
-    needs: TargetRequirements,
+    requirements: TargetRequirements,
     after: Position,
     now: float,
 ) -> bool:
     name = listed.target.name
-    if listed.leaving or name in needs.excluded:
+    if listed.leaving or name in requirements.excluded:
         return False
     observed = group.observed_target(name)
     return observed.applied >= after or now >= observed.behind_until
--- a/bamboospring/sessions/target_control.py
+++ b/bamboospring/sessions/target_control.py
@@ -73,7 +73,7 @@
         self,
         group: SessionGroup,
         name: str,
-        question: ControlOrder,
+        order: ControlOrder,
         timeout: float,
         on_report: OnReport,
     ) -> None:
@@ -97,7 +97,7 @@
             sent_at = self._reactor.now()
             remaining = max(0.05, started_at + timeout - sent_at)
             leased.conn.send(
-                [question], remaining, lambda r: on_result(leased, sent_at, r)
+                [order], remaining, lambda r: on_result(leased, sent_at, r)
             )
 
         def on_result(
--- a/bamboospring/sessions/zone_holders.py
+++ b/bamboospring/sessions/zone_holders.py
@@ -69,8 +69,8 @@
 
     def is_current(self, now: float) -> bool:
         """Return whether the list is recent and long enough to be used."""
-        fresh = now - self._updated_at < MEMBERS_LIFETIME
-        return fresh and len(self.members) >= MIN_VMS
+        is_recent = now - self._updated_at < MEMBERS_LIFETIME
+        return is_recent and len(self.members) >= MIN_VMS
 
     def holder(
         self, target: str, *, max_connections: int, vm_count: int, now: float
