--- a/bamboospring/sessions/access.py
+++ b/bamboospring/sessions/access.py
@@ -21,7 +21,7 @@
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
 
-__all__ = ["Identity", "identify", "are_keys_confirmed", "access_refusal"]
+__all__ = ["Identity", "access_refusal", "are_keys_confirmed", "identify"]
 
 # The fraction by which the lifetime of keys is shortened, to allow for
 # differences in clock rates.
--- a/bamboospring/sessions/change_wait.py
+++ b/bamboospring/sessions/change_wait.py
@@ -8,7 +8,7 @@
 
 from bamboospring.sessions.replies import CHANGE_RETRY_MS
 
-__all__ = ["RUN_TIME_RESERVE", "CHANGE_OVERRUN", "change_wait"]
+__all__ = ["CHANGE_OVERRUN", "RUN_TIME_RESERVE", "change_wait"]
 
 # Seconds that a change may take beyond its expected end, and seconds that a
 # statement needs to run after it.
--- a/bamboospring/sessions/forward_messages.py
+++ b/bamboospring/sessions/forward_messages.py
@@ -22,10 +22,10 @@
 __all__ = [
     "ForwardRequest",
     "ForwardResult",
-    "decode_statement",
     "decode_result",
-    "encode_statement",
+    "decode_statement",
     "encode_result",
+    "encode_statement",
 ]
 
 
--- a/bamboospring/sessions/platform_adapters.py
+++ b/bamboospring/sessions/platform_adapters.py
@@ -20,7 +20,7 @@
 from bamboospring.sessions.session_opening import OpeningCheck
 from bamboospring.target_link import Dialer
 
-__all__ = ["CallerListener", "SessionFactory", "PlatformAdapters"]
+__all__ = ["CallerListener", "PlatformAdapters", "SessionFactory"]
 
 # Called with the database, the digest of the caller's key, the number of the
 # session and the caller's channel.
--- a/bamboospring/sessions/quota_holders.py
+++ b/bamboospring/sessions/quota_holders.py
@@ -32,12 +32,12 @@
     "QuotaHolders",
     "QuotaVm",
     "choose_counting_vms",
-    "may_count",
     "counting_vm",
-    "next_holders",
-    "limit_parts",
-    "holders_to_restore",
     "counting_zones",
+    "holders_to_restore",
+    "limit_parts",
+    "may_count",
+    "next_holders",
 ]
 
 # One of this many VMs of a zone counts, at least one per zone. Fewer holders
--- a/bamboospring/sessions/quota_keeper.py
+++ b/bamboospring/sessions/quota_keeper.py
@@ -29,8 +29,8 @@
 __all__ = [
     "HOLDERS_NAME",
     "QuotaKeeper",
-    "encode_holders",
     "decode_holders",
+    "encode_holders",
 ]
 
 # The object is stored with the groups' records, so that every read of them
--- a/bamboospring/sessions/refusals.py
+++ b/bamboospring/sessions/refusals.py
@@ -10,7 +10,7 @@
 from bamboospring.sessions.ports import Refusal
 from bamboospring.statements import Position
 
-__all__ = ["catch_up_delay", "is_free_retry", "can_retry", "record_refusal"]
+__all__ = ["can_retry", "catch_up_delay", "is_free_retry", "record_refusal"]
 
 # Bounds, in seconds, on how long a replica that lacked a position is not asked
 # for more than it has shown. The minimum is about the usual lag of replicas;
--- a/bamboospring/sessions/relay.py
+++ b/bamboospring/sessions/relay.py
@@ -47,10 +47,10 @@
 
 __all__ = [
     "FactRelay",
-    "digest",
     "decode_targets",
-    "spread_samples",
+    "digest",
     "encode_targets",
+    "spread_samples",
 ]
 
 # Seconds between two requests to the leader, and the timeout of each.
--- a/bamboospring/sessions/replies.py
+++ b/bamboospring/sessions/replies.py
@@ -25,11 +25,11 @@
 __all__ = [
     "BUSY_RETRY_MS",
     "CHANGE_RETRY_MS",
-    "record_reply",
+    "is_certainly_not_run",
     "order_for_job",
+    "record_reply",
     "refusal_outcome",
     "served_outcome",
-    "is_certainly_not_run",
 ]
 
 # Retry delays for callers, in milliseconds: a busy target has worked off its
--- a/bamboospring/sessions/session_shutdown.py
+++ b/bamboospring/sessions/session_shutdown.py
@@ -30,9 +30,9 @@
 
 __all__ = [
     "SessionShutdown",
-    "sessions_to_disconnect",
-    "plan_shutdown",
     "disconnect_count",
+    "plan_shutdown",
+    "sessions_to_disconnect",
 ]
 
 CHECK_INTERVAL = 0.05
--- a/bamboospring/sessions/statement_trace.py
+++ b/bamboospring/sessions/statement_trace.py
@@ -23,7 +23,7 @@
 from bamboospring.sessions.session import Session
 from bamboospring.statements import Position
 
-__all__ = ["StatementTrace", "StatementLogger", "job_kind", "outcome_name"]
+__all__ = ["StatementLogger", "StatementTrace", "job_kind", "outcome_name"]
 
 
 @dataclass(slots=True, kw_only=True)
--- a/bamboospring/sessions/target_choice.py
+++ b/bamboospring/sessions/target_choice.py
@@ -23,10 +23,10 @@
 from bamboospring.statements import Position
 
 __all__ = [
-    "TargetChoice",
-    "TargetRequirements",
     "NoTarget",
     "SendTo",
+    "TargetChoice",
+    "TargetRequirements",
     "choose_target",
     "expected_response_time",
 ]
--- a/bamboospring/sessions/target_control.py
+++ b/bamboospring/sessions/target_control.py
@@ -22,7 +22,7 @@
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.proofs import TargetReport
 
-__all__ = ["NoReport", "ControlOrder", "TargetControl"]
+__all__ = ["ControlOrder", "NoReport", "TargetControl"]
 
 ControlOrder = AskReport | HoldTerm | ResumeReceiving | StepDown
 
--- a/bamboospring/sessions/team_quota.py
+++ b/bamboospring/sessions/team_quota.py
@@ -21,7 +21,7 @@
 
 from bamboospring.sessions.model import Team
 
-__all__ = ["Allowance", "TeamQuotas", "QuotaTolerance", "TokenBucket"]
+__all__ = ["Allowance", "QuotaTolerance", "TeamQuotas", "TokenBucket"]
 
 # The fractions of the tolerance by which buckets are enlarged, and with which
 # a new bucket starts. A VM may start twice within a window.
--- a/bamboospring/sessions/zone_relays.py
+++ b/bamboospring/sessions/zone_relays.py
@@ -21,12 +21,12 @@
 __all__ = [
     "AskLeader",
     "AskRelay",
-    "FactRequester",
     "Assignment",
+    "FactRequester",
     "FactSource",
     "ServeZone",
-    "ZoneRelays",
     "ZoneMembers",
+    "ZoneRelays",
 ]
 
 # In a zone of fewer VMs, a relay saves too few answers to justify the
