--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -59,8 +59,8 @@
 from features.steps.session_texts_steps import FakeReactor
 from features.steps.unanswered_steps import FakeClock
 
-KEY_LIFE = 5.0
-BANK, SHOP = "bank-key-1", "shop-key-1"
+KEY_LIFETIME = 5.0
+BANK_KEY, SHOP_KEY = "bank-key-1", "shop-key-1"
 
 
 def config(version: int = 1, **keys: list[str]) -> dict[str, Any]:
@@ -112,7 +112,9 @@
 
 
 def make_board(**keys: list[str]) -> SessionBoard:
-    board = SessionBoard(vm="v", availability_zone="z", key_lifetime=KEY_LIFE)
+    board = SessionBoard(
+        vm="v", availability_zone="z", key_lifetime=KEY_LIFETIME
+    )
     board.catalog = catalog_of(**keys)
     board.catalog_confirmed_at = 100.0
     return board
@@ -123,12 +125,12 @@
 
 @given("a configuration with the teams bank and shop")
 def given_two_teams(context: Any) -> None:
-    context.board = make_board(bank=[BANK], shop=[SHOP])
+    context.board = make_board(bank=[BANK_KEY], shop=[SHOP_KEY])
 
 
 @then("the key of bank opens sessions of bank")
 def then_bank(context: Any) -> None:
-    identity, refusal = checked_access(context.board, "d", BANK, 100.0)
+    identity, refusal = checked_access(context.board, "d", BANK_KEY, 100.0)
     assert refusal is None and identity.team == "bank"
 
 
@@ -140,14 +142,14 @@
 
 
 @then("any credential opens a route that needs no key")
-def then_any_word(context: Any) -> None:
+def then_any_credential(context: Any) -> None:
     identity, refusal = checked_access(context.board, "open", "u3f1", 100.0)
     assert refusal is None and identity.team == ""
 
 
 @then("the key of shop opens sessions of shop on that route")
 def then_shop_open(context: Any) -> None:
-    identity, refusal = checked_access(context.board, "open", SHOP, 100.0)
+    identity, refusal = checked_access(context.board, "open", SHOP_KEY, 100.0)
     assert refusal is None and identity.team == "shop"
 
 
@@ -159,22 +161,22 @@
         lines.append({"event": event, **fields})
 
     with mock.patch.object(logs, "log_event", keep):
-        context.board = make_board(bank=[BANK], shop=[BANK, SHOP])
+        context.board = make_board(bank=[BANK_KEY], shop=[BANK_KEY, SHOP_KEY])
     context.lines = lines
 
 
 @then("that key is refused as unknown_key")
 def then_shared_refused(context: Any) -> None:
-    _identity, refusal = checked_access(context.board, "d", BANK, 100.0)
+    _identity, refusal = checked_access(context.board, "d", BANK_KEY, 100.0)
     assert refusal.reason.value == "unknown_key"
-    _identity, refusal = checked_access(context.board, "d", SHOP, 100.0)
+    _identity, refusal = checked_access(context.board, "d", SHOP_KEY, 100.0)
     assert refusal is None
 
 
 @then("a log line names both teams and no key")
-def then_line(context: Any) -> None:
+def then_logged(context: Any) -> None:
     assert [line["teams"] for line in context.lines] == ["bank,shop"]
-    assert BANK not in str(context.lines)
+    assert BANK_KEY not in str(context.lines)
 
 
 # A session.
@@ -182,13 +184,13 @@
 
 @given("an open session of bank")
 def given_session(context: Any) -> None:
-    context.board = make_board(bank=[BANK], shop=[SHOP])
+    context.board = make_board(bank=[BANK_KEY], shop=[SHOP_KEY])
     context.reactor = FakeReactor()
     context.executor = FakeExecutor()
     context.channel = FakeChannel()
     context.session = Session(
         caller="bank/1",
-        identity=identify(context.board.catalog, digest(BANK)),
+        identity=identify(context.board.catalog, digest(BANK_KEY)),
         database="d",
         reactor=context.reactor,
         board=context.board,
@@ -200,16 +202,16 @@
 
 
 @when("its key is given to shop")
-def when_given(context: Any) -> None:
-    context.board.catalog = catalog_of(bank=[], shop=[SHOP, BANK])
+def when_reassigned(context: Any) -> None:
+    context.board.catalog = catalog_of(bank=[], shop=[SHOP_KEY, BANK_KEY])
 
 
 @when("it has begun a transaction and its key is removed")
-def when_taken(context: Any) -> None:
+def when_removed(context: Any) -> None:
     context.session.submit("2", Begin(read_only=False))
     assert isinstance(context.channel.answers[-1].outcome, AcknowledgedLocally)
     context.session.submit("3", TextStatement(writes=True, text="WRITE a 1"))
-    context.board.catalog = catalog_of(bank=[], shop=[SHOP])
+    context.board.catalog = catalog_of(bank=[], shop=[SHOP_KEY])
 
 
 @when("nothing is confirmed for {seconds:g} seconds")
@@ -237,7 +239,7 @@
     refusal = judge_opening(
         context.board,
         "d",
-        digest(BANK),
+        digest(BANK_KEY),
         now=context.reactor.now(),
         running=50.0,
         held=0.0,
@@ -250,8 +252,8 @@
 @then("callers are sent to other VMs long before that")
 def then_sent_elsewhere(context: Any) -> None:
     board = context.board
-    assert unready_reason(board, 100.0 + 0.5 * KEY_LIFE) == ""
-    assert unready_reason(board, 100.0 + 0.7 * KEY_LIFE) != ""
+    assert unready_reason(board, 100.0 + 0.5 * KEY_LIFETIME) == ""
+    assert unready_reason(board, 100.0 + 0.7 * KEY_LIFETIME) != ""
 
 
 # Confirmation.
@@ -290,13 +292,13 @@
     def __init__(self, clock: FakeClock) -> None:
         self.clock = clock
         self.board = SessionBoard(
-            vm="v", availability_zone="z", key_lifetime=KEY_LIFE
+            vm="v", availability_zone="z", key_lifetime=KEY_LIFETIME
         )
         self.platform = ScriptedPlatform()
-        anything: Any = clock
+        untyped_clock: Any = clock
         store: Any = self.platform
         self.keeper = CatalogKeeper(
-            reactor=anything,
+            reactor=untyped_clock,
             board=self.board,
             platform=store,
             kind="config",
@@ -325,7 +327,7 @@
         self.clock = FakeClock()
         self.clock.time = 100.0
         self.version = 1
-        self.value = config(bank=[BANK])
+        self.value = config(bank=[BANK_KEY])
         self.removed_at = float("inf")
         self.vms = [KeyVm(self.clock) for _ in range(4)]
         for vm in self.vms:
@@ -352,7 +354,7 @@
 
     def _restore_store(self) -> None:
         self.restores = False
-        newest, self.value = self.value, config(bank=[BANK])
+        newest, self.value = self.value, config(bank=[BANK_KEY])
         self.era, self.version = 1, 1
 
         def write_again() -> None:
@@ -402,9 +404,9 @@
 
     def fault(self) -> str:
         late = self.clock.now() - self.removed_at
-        if late <= KEY_LIFE:
+        if late <= KEY_LIFETIME:
             return ""
-        if any(vm.serves(BANK, self.clock.now()) for vm in self.vms):
+        if any(vm.serves(BANK_KEY, self.clock.now()) for vm in self.vms):
             return f"served {late:.2f} s after its removal"
         return ""
 
@@ -447,8 +449,8 @@
     context.clock.time = 100.0
     context.vm = KeyVm(context.clock)
     context.vm.keeper.start()
-    answer(context, 1, config(bank=[BANK]))
-    assert context.vm.serves(BANK, 100.0)
+    answer(context, 1, config(bank=[BANK_KEY]))
+    assert context.vm.serves(BANK_KEY, 100.0)
 
 
 def answer(context: Any, version: int, value: Any) -> None:
@@ -472,8 +474,8 @@
 
 @then("a version that it can read does")
 def then_readable(context: Any) -> None:
-    answer(context, 3, config(version=3, bank=[BANK]))
-    assert context.vm.serves(BANK, 108.0)
+    answer(context, 3, config(version=3, bank=[BANK_KEY]))
+    assert context.vm.serves(BANK_KEY, 108.0)
 
 
 @when("the store fails to return a newer version that another VM has")
@@ -481,7 +483,7 @@
     context.calls = len(context.vm.platform.calls)
     other = KeyVm(context.clock)
     other.keeper.start()
-    newer = config(version=2, bank=[], shop=[SHOP])
+    newer = config(version=2, bank=[], shop=[SHOP_KEY])
     other.platform.calls.pop(0)(
         Changes(objects=(stored(2, newer),), revision=2)
     )
@@ -498,8 +500,8 @@
 
 @then("it gets the data from that VM, in force and confirmed")
 def then_in_force(context: Any) -> None:
-    assert context.vm.serves(SHOP, 107.0)
-    assert not context.vm.serves(BANK, 107.0)
+    assert context.vm.serves(SHOP_KEY, 107.0)
+    assert not context.vm.serves(BANK_KEY, 107.0)
     assert len(context.vm.platform.calls) == context.calls
 
 
@@ -808,12 +810,12 @@
         for number in range(count)
         for turn in range(30)
     ]
-    has: dict[int, float] = {}
+    received_at: dict[int, float] = {}
     for at, number in sorted(asks):
-        if number not in has and passing.data_to_send(b"x" * size, at):
-            has[number] = at
-    assert len(has) == count
-    return sorted(has.values())
+        if number not in received_at and passing.data_to_send(b"x" * size, at):
+            received_at[number] = at
+    assert len(received_at) == count
+    return sorted(received_at.values())
 
 
 @then(
--- a/features/steps/session_estate_steps.py
+++ b/features/steps/session_estate_steps.py
@@ -204,7 +204,7 @@
 
 
 @when("its VM and a member are stopped")
-def ended(context):
+def when_stopped(context):
     fleet = context.stage.fleet
     vm = fleet.vms["vm0"]
     member = fleet.members()[0]
@@ -215,7 +215,7 @@
 
 
 @then("no other process can listen on their ports")
-def kept(context):
+def then_ports_reserved(context):
     for address in context.addresses:
         host, _, port = address.rpartition(":")
         with socket.socket() as sock:
--- a/features/steps/session_texts_steps.py
+++ b/features/steps/session_texts_steps.py
@@ -276,8 +276,10 @@
     rng = random.Random(7)
     words = ["READ", "BEGIN", "PREPARE", "SET", "EXECUTE", "AFTER", ""]
     for _ in range(5000):
-        noise = bytes(rng.randrange(256) for _ in range(rng.randrange(9)))
-        text = f"{rng.choice(words)} {noise.decode('latin-1')}"
+        random_bytes = bytes(
+            rng.randrange(256) for _ in range(rng.randrange(9))
+        )
+        text = f"{rng.choice(words)} {random_bytes.decode('latin-1')}"
         parse_statement(text)
 
 
@@ -382,7 +384,7 @@
         assert read_target(found) is None, row["entry"]
 
 
-GOOD = {
+VALID_ENTRY = {
     "service": "g",
     "address": "1.2.3.4:5",
     "zone": "z",
@@ -397,13 +399,13 @@
 
 @then("a valid entry is read")
 def then_good(context):
-    news = read_target(Found(kind="s", name="m", version=1, value=GOOD))
+    news = read_target(Found(kind="s", name="m", version=1, value=VALID_ENTRY))
     assert news is not None and news.leaving and news.is_primary
-    assert news.target.born == GOOD["born"]
+    assert news.target.born == VALID_ENTRY["born"]
 
 
 def item(name):
-    return {"meta": {"name": name, "revision": 3}, "spec": GOOD}
+    return {"meta": {"name": name, "revision": 3}, "spec": VALID_ENTRY}
 
 
 @then("a list with a broken item returns the readable ones")
--- a/features/steps/team_quota_steps.py
+++ b/features/steps/team_quota_steps.py
@@ -50,7 +50,7 @@
 IN_ZONE = 0.0002
 CROSS_ZONE = 0.001
 # Seconds after a request for which the answer of a VM that counts is used.
-ANSWER_TIME = 0.12
+ANSWER_LIFETIME = 0.12
 
 
 def max_in_window(times: list[float], window: float) -> int:
@@ -100,7 +100,7 @@
 
 
 @then("no explored sequence of restarts grants more than rate and burst allow")
-def then_no_life(context: Any) -> None:
+def then_no_excess(context: Any) -> None:
     faults = [
         fault for seed in range(400) if (fault := explore_restarts(seed))
     ]
@@ -259,7 +259,7 @@
     assert not faults, faults[:3]
     assert (
         quota_holders.HANDOVER_DELAY
-        > CONFIRMATION_LIFETIME * 1.05 + ANSWER_TIME
+        > CONFIRMATION_LIFETIME * 1.05 + ANSWER_LIFETIME
     )
 
 
@@ -476,7 +476,7 @@
     crowd.load("calm", 10, began + seconds)
     crowd.move(seconds + 1.0)
     context.shares = [crowd.granted_share("hot", began, began + seconds)]
-    context.calm = crowd.granted_share("calm", began, began + seconds)
+    context.other_share = crowd.granted_share("calm", began, began + seconds)
 
 
 @when("all callers of a team are in one zone and send its limit")
@@ -514,8 +514,8 @@
     crowd.limit("hot", 50)
     crowd.move(5.0)
     began = crowd.clock.now()
-    toss = crowd.rng.random
-    crowd.load("hot", 100, began + 20, runs=lambda: toss() < 0.5)
+    draw_random = crowd.rng.random
+    crowd.load("hot", 100, began + 20, runs=lambda: draw_random() < 0.5)
     crowd.move(21.0)
     context.shares = [crowd.granted_share("hot", began, began + 20)]
 
@@ -563,7 +563,7 @@
 
 @then("the operations of another team are granted")
 def then_calm(context: Any) -> None:
-    assert context.calm >= 0.99, context.calm
+    assert context.other_share >= 0.99, context.other_share
 
 
 @when("VMs that count answer {seconds:g} s after the first callers")
