--- a/bamboospring/sessions/forwarded_attempt.py
+++ b/bamboospring/sessions/forwarded_attempt.py
@@ -101,7 +101,7 @@
         execution.schedule_hedge(observed)
 
     def cancel(self) -> None:
-        """Tell the holder to cancel the statement."""
+        """Cancel the statement at the holder."""
         if self.is_answered:
             return
         message = new_envelope()
