--- a/bamboospring/sessions/readiness.py
+++ b/bamboospring/sessions/readiness.py
@@ -7,9 +7,10 @@
 
 __all__ = ["unready_reason"]
 
-# Maximum age of proofs in seconds. If the newest proofs of all primaries are
-# older, this VM is probably cut off while other VMs are not.
-MAX_PROOF_AGE = PROOF_LIFETIME + 1.0
+# Age of proofs in seconds after which they count as lapsed. If the newest
+# proofs of all primaries have lapsed, this VM is probably cut off while other
+# VMs are not.
+LAPSED_PROOF_AGE = PROOF_LIFETIME + 1.0
 # The fraction of the lifetime of keys that may pass without confirmation
 # before callers are sent to other VMs, which can serve them after its end too.
 UNCONFIRMED_FRACTION = 0.6
@@ -36,7 +37,7 @@
     if groups and not known:
         return "no record of any group yet"
     settled = [group for group in known if group.primary() is not None]
-    lapsed = [g for g in settled if now - g.proof.asked_at > MAX_PROOF_AGE]
+    lapsed = [g for g in settled if now - g.proof.asked_at > LAPSED_PROOF_AGE]
     if settled and len(lapsed) == len(settled):
         return "no primary can be proven"
     return ""
