--- a/bamboospring/sessions/forward_messages.py
+++ b/bamboospring/sessions/forward_messages.py
@@ -1,7 +1,7 @@
-"""Reads that one VM runs for another, as they are sent between the two.
+"""Encode statements that one VM runs for another, and their results.
 
-Heads are JSON arrays: they are small, and made for every statement that is
-passed on.
+Heads are JSON arrays: they are small and quick to build, which matters because
+each forwarded statement has one.
 """
 
 from __future__ import annotations
@@ -22,22 +22,23 @@
 __all__ = [
     "ForwardRequest",
     "ForwardResult",
-    "decode_statement",
     "decode_result",
-    "encode_statement",
+    "decode_statement",
     "encode_result",
+    "encode_statement",
 ]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ForwardRequest:
-    """A single statement, with all that its holder needs to run it.
-
-    `born` and `address` name the target's life that was chosen. `text` is
-    None for a prepared statement, whose shape and arguments are given
-    instead. `values` are those of the caller's session. The target's log must
-    have `after`, if it is given. `left` is the time for it in seconds, within
-    `patience` of them it must have found a slot.
+    """A single statement with everything that its holder needs to run it.
+
+    `address` and `born` identify the incarnation of the target that was
+    chosen. `text` is None for a prepared statement, which has `shape` and
+    `arguments` instead. `values` are those of the caller's session. The
+    target's log must have reached `after`, if it is given. `remaining` is the
+    time limit in seconds; within `slot_timeout` seconds the statement must get
+    a slot.
     """
 
     id: str
@@ -58,8 +59,8 @@
     after: Position | None = None
 
 
-# What became of it: the target's whole answer, a refusal of the holder's by
-# which nothing ran, or a lost connection to the target.
+# The result: the target's complete reply, a refusal by the holder (the
+# statement has not run), or a lost connection to the target.
 ForwardResult = TargetReply | NotRun | Overloaded | LinkLost
 
 REPLY = 0
@@ -68,33 +69,33 @@
 LOST = 3
 
 
-def encode_statement(statement: ForwardRequest) -> bytes:
-    """Return a statement as it is sent to its holder."""
-    shape = statement.shape
+def encode_statement(request: ForwardRequest) -> bytes:
+    """Encode a statement for its holder."""
+    shape = request.shape
     return orjson.dumps(
         (
-            statement.id,
-            statement.caller,
-            statement.team,
-            statement.group,
-            statement.target,
-            statement.address,
-            statement.born,
-            statement.values,
-            round(statement.remaining * 1e6),
-            round(statement.slot_timeout * 1e6),
-            statement.urgency,
-            statement.writes,
-            statement.text,
+            request.id,
+            request.caller,
+            request.team,
+            request.group,
+            request.target,
+            request.address,
+            request.born,
+            request.values,
+            round(request.remaining * 1e6),
+            round(request.slot_timeout * 1e6),
+            request.urgency,
+            request.writes,
+            request.text,
             shape.text if shape is not None else None,
-            statement.arguments,
-            _pair(statement.after),
+            request.arguments,
+            _encode_position(request.after),
         )
     )
 
 
 def decode_statement(head: bytes) -> ForwardRequest:
-    """Read what `encode_statement` has made."""
+    """Decode the output of `encode_statement`."""
     (
         id,
         caller,
@@ -129,12 +130,12 @@
         text=text,
         shape=None if shape is None else Shape(writes=writes, text=shape),
         arguments=arguments,
-        after=_position(after),
+        after=_decode_position(after),
     )
 
 
 def encode_result(result: ForwardResult) -> bytes:
-    """Return what became of a statement as it is sent back."""
+    """Encode the result of a statement for the VM that sent it."""
     match result:
         case TargetReply():
             refusal = result.refusal
@@ -144,19 +145,19 @@
                 result.signature,
                 refusal.value if refusal is not None else None,
                 result.message,
-                _pair(result.position),
+                _encode_position(result.position),
             )
         case NotRun(reason=reason, retry_after_ms=retry, message=message):
             fields = (NOT_RUN, reason.value, retry, message)
         case Overloaded(reason=reason, retry_after_ms=retry, message=message):
             fields = (OVERLOADED, reason.value, retry, message)
-        case LinkLost(unresponsive=silent):
-            fields = (LOST, silent)
+        case LinkLost(unresponsive=unresponsive):
+            fields = (LOST, unresponsive)
     return orjson.dumps(fields)
 
 
 def decode_result(head: bytes) -> ForwardResult:
-    """Read what `encode_result` has made."""
+    """Decode the output of `encode_result`."""
     kind, *rest = orjson.loads(head)
     if kind == LOST:
         return LinkLost(unresponsive=rest[0])
@@ -172,13 +173,13 @@
         signature=signature,
         refusal=None if refusal is None else Refusal(refusal),
         message=message,
-        position=_position(position),
+        position=_decode_position(position),
     )
 
 
-def _pair(position: Position | None) -> tuple[int, int] | None:
+def _encode_position(position: Position | None) -> tuple[int, int] | None:
     return None if position is None else (position.term, position.index)
 
 
-def _position(pair: list[int] | None) -> Position | None:
+def _decode_position(pair: list[int] | None) -> Position | None:
     return None if pair is None else Position(term=pair[0], index=pair[1])
--- a/bamboospring/sessions/holder_server.py
+++ b/bamboospring/sessions/holder_server.py
@@ -1,4 +1,4 @@
-"""Runs statements of other VMs of the zone at targets that this VM holds."""
+"""Run statements for other VMs of the zone at targets that this VM holds."""
 
 from __future__ import annotations
 
@@ -37,15 +37,16 @@
 
 __all__ = ["HolderServer"]
 
-# What found no slot at the target is queued again after so many seconds: less
-# than a statement usually runs.
-BUSY_PAUSE = 0.003
-# A VM that asked the wrong one knows better within one round of facts.
-RETRY_MS = 100
+# Seconds before a statement that found no slot at the target is queued again;
+# shorter than a typical statement runs.
+BUSY_RETRY_DELAY = 0.003
+# The retry delay for a VM that asked the wrong holder; within one round of
+# facts it knows the right one.
+NOT_HOLDER_RETRY_MS = 100
 
 
 class HolderServer:
-    """Answers the statements that other VMs pass on to this one."""
+    """Answers the statements that other VMs forward to this one."""
 
     def __init__(
         self,
@@ -58,58 +59,73 @@
         self.reactor = reactor
         self.board = board
         self.pools = pools
-        self._held: dict[tuple[str, int], _Held] = {}
-        self.taken = 0
-        peers.add_handler("heldAsk", self._on_ask)
+        self._statements: dict[tuple[str, int], _ForwardedStatement] = {}
+        self.received_count = 0
+        peers.add_handler("heldAsk", self._on_request)
         peers.add_handler("heldCancel", self._on_cancel)
 
-    def _on_ask(self, message: Any, reply: Reply) -> None:
+    def _on_request(self, message: Any, reply: Reply) -> None:
         ask = message.heldAsk
         key = (ask.vm, ask.number)
-        statement = decode_statement(ask.head)
+        request = decode_statement(ask.head)
 
-        def done(result: ForwardResult) -> None:
-            self._held.pop(key, None)
+        def on_complete(result: ForwardResult) -> None:
+            self._statements.pop(key, None)
             answer = new_envelope()
             answer.init("heldAnswer").head = encode_result(result)
             reply(answer)
             if not isinstance(result, TargetReply):
-                self._log_failure(statement, key[0], result)
+                self._log_failure(request, key[0], result)
 
-        self.taken += 1
-        news = self._news_of(statement)
-        if news is None:
-            done(NotRun(reason=Reason.NOT_HOLDER, retry_after_ms=RETRY_MS))
+        self.received_count += 1
+        listed_target = self._find_target(request)
+        if listed_target is None:
+            on_complete(
+                NotRun(
+                    reason=Reason.NOT_HOLDER,
+                    retry_after_ms=NOT_HOLDER_RETRY_MS,
+                )
+            )
             return
-        held = _Held(server=self, statement=statement, news=news, on_done=done)
-        self._held[key] = held
-        held.start()
+        forwarded = _ForwardedStatement(
+            server=self,
+            request=request,
+            listed_target=listed_target,
+            on_complete=on_complete,
+        )
+        self._statements[key] = forwarded
+        forwarded.start()
 
-    def _news_of(self, statement: ForwardRequest) -> ListedTarget | None:
-        """Return the target that was meant; None if it is not to be used."""
+    def _find_target(self, request: ForwardRequest) -> ListedTarget | None:
+        """Return the requested target; None if it can't be used."""
         if self.board.draining:
             return None
-        news = self.board.group(statement.group).targets.get(statement.target)
-        if news is None:
+        listed_target = self.board.group(request.group).targets.get(
+            request.target
+        )
+        if listed_target is None:
             return None
-        target = news.target
-        same = (target.address, target.born) == (
-            statement.address,
-            statement.born,
+        target = listed_target.target
+        is_same_target = (target.address, target.born) == (
+            request.address,
+            request.born,
         )
-        if not same or self.reactor.now() >= news.usable_until:
+        if (
+            not is_same_target
+            or self.reactor.now() >= listed_target.usable_until
+        ):
             return None
-        return news
+        return listed_target
 
     def _on_cancel(self, message: Any, _reply: Reply) -> None:
         cancel = message.heldCancel
-        held = self._held.get((cancel.vm, cancel.number))
-        if held is not None:
-            held.cancel()
+        statement = self._statements.get((cancel.vm, cancel.number))
+        if statement is not None:
+            statement.cancel()
 
     def _log_failure(
         self,
-        statement: ForwardRequest,
+        request: ForwardRequest,
         vm: str,
         result: NotRun | Overloaded | LinkLost,
     ) -> None:
@@ -119,93 +135,89 @@
         logs.log_event(
             "held_statement_failed",
             level=logs.Level.WARNING,
-            trace=statement.id,
+            trace=request.id,
             of=vm,
-            group=statement.group,
-            target=statement.target,
+            group=request.group,
+            target=request.target,
             reason=reason,
         )
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class _Held:
-    """One statement on its way to its target."""
+class _ForwardedStatement:
+    """A statement of another VM, from its arrival to its result."""
 
     server: HolderServer
-    statement: ForwardRequest
-    news: ListedTarget
-    on_done: Callable[[ForwardResult], None]
+    request: ForwardRequest
+    listed_target: ListedTarget
+    on_complete: Callable[[ForwardResult], None]
     deadline: float = 0.0
-    patient_until: float = 0.0
+    slot_deadline: float = 0.0
     leased: LeasedConnection[SessionLink] | None = None
-    asked: PendingAcquire | None = None
-    over: bool = False
+    pending_acquire: PendingAcquire | None = None
+    is_finished: bool = False
 
     def start(self) -> None:
         now = self.server.reactor.now()
-        self.deadline = now + self.statement.remaining
-        self.patient_until = now + self.statement.slot_timeout
+        self.deadline = now + self.request.remaining
+        self.slot_deadline = now + self.request.slot_timeout
         self._acquire()
 
     def _acquire(self) -> None:
-        if self.over:
+        if self.is_finished:
             return
-        statement = self.statement
-        self.asked = self.server.pools.acquire(
-            self.news.target,
+        request = self.request
+        self.pending_acquire = self.server.pools.acquire(
+            self.listed_target.target,
             self.deadline,
-            statement.caller,
-            self._ready,
-            is_write=statement.writes,
-            team=statement.team,
-            urgency=statement.urgency,
-            score=lambda link: link_fit(
-                link, statement.values, statement.shape
-            ),
+            request.caller,
+            self._on_leased,
+            is_write=request.writes,
+            team=request.team,
+            urgency=request.urgency,
+            score=lambda link: link_fit(link, request.values, request.shape),
         )
 
     def cancel(self) -> None:
-        """Give up the place in the queue; what runs goes on to its end."""
-        if self.leased is None and self.asked is not None:
-            self.asked.cancel()
+        """Leave the queue for a connection; a running statement continues."""
+        if self.leased is None and self.pending_acquire is not None:
+            self.pending_acquire.cancel()
             self._finish(NotRun(reason=Reason.CALLER_GONE))
 
-    def _ready(
+    def _on_leased(
         self, leased: LeasedConnection[SessionLink] | NotRun | Overloaded
     ) -> None:
         if not isinstance(leased, LeasedConnection):
             self._finish(leased)
             return
         self.leased = leased
-        if self.over:
+        if self.is_finished:
             self._release(healthy=True)
             return
-        statement = self.statement
-        orders = setup_orders(
-            leased.conn, statement.values, statement.shape, None
-        )
+        request = self.request
+        orders = setup_orders(leased.conn, request.values, request.shape, None)
         if not orders:
             self._send()
             return
-        # The statement waits for the answers: it must not run with values
-        # that are not its session's.
-        leased.conn.send(orders, self._left(), self._prepared)
+        # The statement is sent only after these replies, so that it never runs
+        # with the values of another session.
+        leased.conn.send(orders, self._remaining(), self._on_prepared)
 
-    def _prepared(self, result: list[TargetReply] | LinkLost) -> None:
+    def _on_prepared(self, result: list[TargetReply] | LinkLost) -> None:
         if isinstance(result, LinkLost):
             self._release(healthy=False)
             self._finish(NotRun(reason=Reason.TARGET_UNREACHABLE))
             return
         refused = [reply for reply in result if reply.refusal is not None]
         if refused:
-            self._replied(refused[0])
+            self._on_reply(refused[0])
         else:
             self._send()
 
     def _send(self) -> None:
         assert self.leased is not None
         sent_at = self.server.reactor.now()
-        if not self._may_send(sent_at):
+        if not self._can_send(sent_at):
             self._release(healthy=True)
             self._finish(
                 NotRun(
@@ -215,43 +227,46 @@
             )
             return
 
-        def answered(result: list[TargetReply] | LinkLost) -> None:
+        def on_result(result: list[TargetReply] | LinkLost) -> None:
             if isinstance(result, LinkLost):
                 self._release(healthy=False)
                 self._finish(result)
                 return
             now = self.server.reactor.now()
-            group = self.server.board.group(self.statement.group)
-            record_reply(group, self.statement.target, result[0], sent_at, now)
-            self._replied(result[0])
+            group = self.server.board.group(self.request.group)
+            record_reply(group, self.request.target, result[0], sent_at, now)
+            self._on_reply(result[0])
 
-        self.leased.conn.send([_order(self.statement)], self._left(), answered)
+        self.leased.conn.send(
+            [_order(self.request)], self._remaining(), on_result
+        )
 
-    def _may_send(self, now: float) -> bool:
-        """Tell whether the target may still run this statement.
+    def _can_send(self, now: float) -> bool:
+        """Return whether the target may still run this statement.
 
-        Without a position to ask for only the primary may, and it may have
-        been replaced while the statement waited here for a connection.
+        Without a required position, only the primary may run it, and the
+        primary may have changed while the statement waited here for a
+        connection.
         """
-        if self.statement.after is not None:
+        if self.request.after is not None:
             return True
-        group = self.server.board.group(self.statement.group)
+        group = self.server.board.group(self.request.group)
         primary = group.primary()
-        if primary is None or primary.target.name != self.statement.target:
+        if primary is None or primary.target.name != self.request.target:
             return False
         return group.proof.covers(now)
 
-    def _replied(self, reply: TargetReply) -> None:
+    def _on_reply(self, reply: TargetReply) -> None:
         assert self.leased is not None
         if reply.refusal is Refusal.UNKNOWN_SHAPE:
             self.leased.conn.shapes.clear()
-        busy = reply.refusal is Refusal.BUSY
-        pool = self.server.pools.pool(self.news.target)
-        pool.record_slot_result(found=not busy)
+        is_busy = reply.refusal is Refusal.BUSY
+        pool = self.server.pools.pool(self.listed_target.target)
+        pool.record_slot_result(found=not is_busy)
         self._release(healthy=True)
         now = self.server.reactor.now()
-        if busy and now + BUSY_PAUSE < self.patient_until:
-            self.server.reactor.call_later(BUSY_PAUSE, self._acquire)
+        if is_busy and now + BUSY_RETRY_DELAY < self.slot_deadline:
+            self.server.reactor.call_later(BUSY_RETRY_DELAY, self._acquire)
         else:
             self._finish(reply)
 
@@ -262,22 +277,20 @@
         self.server.pools.release(leased, healthy=usable)
 
     def _finish(self, result: ForwardResult) -> None:
-        if not self.over:
-            self.over = True
-            self.on_done(result)
+        if not self.is_finished:
+            self.is_finished = True
+            self.on_complete(result)
 
-    def _left(self) -> float:
+    def _remaining(self) -> float:
         return max(0.0, self.deadline - self.server.reactor.now())
 
 
-def _order(statement: ForwardRequest) -> TargetOrder:
-    if statement.shape is not None:
+def _order(request: ForwardRequest) -> TargetOrder:
+    if request.shape is not None:
         return RunShape(
-            id=statement.id,
-            shape=statement.shape,
-            arguments=statement.arguments,
-            after=statement.after,
+            id=request.id,
+            shape=request.shape,
+            arguments=request.arguments,
+            after=request.after,
         )
-    return RunText(
-        id=statement.id, text=statement.text or "", after=statement.after
-    )
+    return RunText(id=request.id, text=request.text or "", after=request.after)
--- a/bamboospring/sessions/relay.py
+++ b/bamboospring/sessions/relay.py
@@ -1,13 +1,13 @@
-"""Facts from the leader in place of calls to the platform.
+"""Get facts from the leader instead of from the platform.
 
 Each VM on its own would read the records, the targets and the configuration
-about three times a second. The leader reads them anyway, so the others ask
-it, or the VM that it has named as the relay of their zone, and read the store
-only where neither answers or the facts are too old.
+about three times a second. The leader reads them anyway, so other VMs ask it,
+or the VM that it has named as the relay of their zone. They read the store
+only if neither answers or the facts are too old.
 
-A proof that is passed on keeps its age: the one who asks counts it from
-before it asked, less the age that the answer states, so that time on the way
-makes it older and never younger, over any number of hops.
+A relayed proof keeps its age: the receiver counts from before it asked, and
+subtracts the age that the answer states. Time in transit therefore makes a
+proof older, never younger, over any number of hops.
 """
 
 from __future__ import annotations
@@ -47,51 +47,51 @@
 
 __all__ = [
     "FactRelay",
-    "digest_of",
     "decode_targets",
-    "spaced",
+    "digest",
     "encode_targets",
+    "spread_samples",
 ]
 
-# Seconds between two questions to the leader, and the time for the answer.
-INTERVAL = 0.6
-TIMEOUT = 0.4
-# The relay of a zone asks so often, in seconds: what it passes on is older by
-# this at most.
-RELAY_INTERVAL = 0.2
-# What is older than this, in seconds, is rather read by oneself. A change of
-# configuration is to be in force within 3 s.
-OLDEST_PROOF = 1.0
-OLDEST_TARGETS = 3.0
-OLDEST_CATALOG = 1.5
-# Samples of so many seconds are passed on, at most so many of each group: an
-# asker that misses one answer misses none of its reads for it.
-SAMPLES_OF = 2 * INTERVAL
-MOST_SAMPLES = 4
-# What was passed on stands in for one's own reading for so long, in seconds.
-STANDS = INTERVAL + TIMEOUT + 0.1
-
-
-def encode_targets(listed: list[ListedTarget]) -> bytes:
-    """Return targets as they are passed on."""
+# Seconds between two requests to the leader, and the timeout of each.
+REQUEST_INTERVAL = 0.6
+REQUEST_TIMEOUT = 0.4
+# Seconds between two requests of a relay; the facts that it passes on are
+# older by at most this.
+RELAY_REQUEST_INTERVAL = 0.2
+# Maximum ages of facts in seconds; a VM reads older ones from the store
+# itself. A change of configuration must be in force within 3 s.
+MAX_PROOF_AGE = 1.0
+MAX_TARGETS_AGE = 3.0
+MAX_CATALOG_AGE = 1.5
+# Samples of this many seconds are passed on, at most this many of each group,
+# so that a VM that misses one answer can still serve its reads.
+SAMPLE_SPAN = 2 * REQUEST_INTERVAL
+MAX_SAMPLES = 4
+# Seconds for which relayed facts replace a VM's own reads of the store.
+RELAYED_LIFETIME = REQUEST_INTERVAL + REQUEST_TIMEOUT + 0.1
+
+
+def encode_targets(targets: list[ListedTarget]) -> bytes:
+    """Encode targets for other VMs."""
     rows = [
         (
-            news.target.name,
-            news.target.address,
-            news.target.availability_zone,
-            news.target.slots,
-            news.target.born,
-            news.group,
-            news.leaving,
-            news.is_primary,
+            listed.target.name,
+            listed.target.address,
+            listed.target.availability_zone,
+            listed.target.slots,
+            listed.target.born,
+            listed.group,
+            listed.leaving,
+            listed.is_primary,
         )
-        for news in sorted(listed, key=lambda news: news.target.name)
+        for listed in sorted(targets, key=lambda listed: listed.target.name)
     ]
     return orjson.dumps(rows)
 
 
 def decode_targets(data: bytes) -> list[ListedTarget]:
-    """Read targets that were passed on."""
+    """Decode targets from another VM."""
     return [
         ListedTarget(
             target=Target(
@@ -104,27 +104,27 @@
             ),
             group=group,
             leaving=leaving,
-            is_primary=leads,
+            is_primary=is_primary,
         )
-        for name, address, zone, slots, born, group, leaving, leads in (
+        for name, address, zone, slots, born, group, leaving, is_primary in (
             orjson.loads(data)
         )
     ]
 
 
-def spaced(samples: list[Sample]) -> list[Sample]:
-    """Return a few samples of those given, spread evenly."""
-    step = -(-len(samples) // MOST_SAMPLES) or 1
+def spread_samples(samples: list[Sample]) -> list[Sample]:
+    """Return at most MAX_SAMPLES of the samples, evenly spread."""
+    step = -(-len(samples) // MAX_SAMPLES) or 1
     return samples[::step]
 
 
-def digest_of(data: bytes) -> int:
-    """Return what tells two states of the facts apart."""
+def digest(data: bytes) -> int:
+    """Return a digest by which two states of the facts are compared."""
     return int(xxhash.xxh3_64_intdigest(data))
 
 
 class FactRelay:
-    """Answers other VMs while it leads, and asks the leader otherwise."""
+    """Answers other VMs while this VM is the leader, or asks the leader."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         board: SessionBoard,
         peers: Peers,
         registry: VmRegistry,
-        duty: LeaderLease,
+        lease: LeaderLease,
         records: RecordKeeper,
         targets: TargetKeeper,
         catalog: CatalogKeeper,
@@ -143,76 +143,76 @@
         self._board = board
         self._peers = peers
         self._registry = registry
-        self._duty = duty
+        self._lease = lease
         self._records = records
         self._targets = targets
         self._catalog = catalog
-        self._relayed = False
+        self._uses_relayed_facts = False
         self._informed_until = -1e9
         self._source = FactSource()
         self._zone_relays = ZoneRelays()
         self._zone_members = ZoneMembers()
         self._holders = holders
-        peers.add_handler("factsAsk", self._on_ask)
+        peers.add_handler("factsAsk", self._on_request)
         peers.add_handler("leading", self._on_leading)
 
     def start(self) -> None:
-        """Ask now and from then on."""
-        self._tick()
+        """Start to request facts at regular intervals."""
+        self._request_facts()
 
-    # Asking.
+    # Requests to other VMs.
 
-    def _tick(self) -> None:
+    def _request_facts(self) -> None:
         serves = self._source.serves_zone
-        interval = RELAY_INTERVAL if serves else INTERVAL
-        self._reactor.call_later(interval, self._tick)
-        leader = self._duty.holder()
-        if self._duty.is_held or leader in ("", self._board.vm):
-            self._set_relayed(False, "this VM leads or nobody does")
+        interval = RELAY_REQUEST_INTERVAL if serves else REQUEST_INTERVAL
+        self._reactor.call_later(interval, self._request_facts)
+        leader = self._lease.holder()
+        if self._lease.is_held or leader in ("", self._board.vm):
+            self._set_relayed(False, "this VM is the leader, or there is none")
             return
-        address = self._duty.holder_address()
+        address = self._lease.holder_address()
         if not address:
             self._set_relayed(False, "the leader's address is unknown")
             return
-        self._ask(self._source.address(address), address)
+        self._send_request(self._source.address(address), address)
 
-    def _ask(self, address: str, leader: str) -> None:
-        """Ask a VM for facts; if the relay has none, ask the leader."""
+    def _send_request(self, address: str, leader: str) -> None:
+        """Ask a VM for facts; if it is a relay without any, ask the leader."""
         asked_at = self._reactor.now()
         message = new_envelope()
         ask = message.init("factsAsk")
         ask.vm = self._board.vm
         ask.address = self._registry.local_vm.address
         ask.availabilityZone = self._board.availability_zone
-        ask.records = digest_of(self._records.as_bytes())
-        ask.targets = digest_of(encode_targets(self._targets.listed))
+        ask.records = digest(self._records.as_bytes())
+        ask.targets = digest(encode_targets(self._targets.listed))
         ask.wantsCatalog = self._catalog.refresh_failed
-        ask.zoneVms = digest_of(_write_vms(self._holders.listed))
+        ask.zoneVms = digest(_encode_vms(self._holders.members))
 
-        def answered(answer: Any) -> None:
+        def on_answer(answer: Any) -> None:
             lost = isinstance(answer, PeerLost)
             if not lost and answer.facts.informed:
-                self._take(answer.facts, asked_at)
+                self._apply_facts(answer.facts, asked_at)
             elif address != leader:
                 self._relay_failed("silent" if lost else "not informed")
-                self._ask(leader, leader)
+                self._send_request(leader, leader)
             else:
                 self._set_relayed(False, "the leader does not answer")
 
-        self._peers.ask(address, message, TIMEOUT, answered)
+        self._peers.ask(address, message, REQUEST_TIMEOUT, on_answer)
 
-    def _relay_failed(self, why: str) -> None:
-        self._source.relay_failed(self._reactor.now())
-        logs.log_event("facts_relay_failed", reason=why)
+    def _relay_failed(self, reason: str) -> None:
+        self._source.record_relay_failure(self._reactor.now())
+        logs.log_event("facts_relay_failed", reason=reason)
 
-    def _take(self, facts: Any, asked_at: float) -> None:
+    def _apply_facts(self, facts: Any, asked_at: float) -> None:
         now = self._reactor.now()
-        until = now + STANDS
+        until = now + RELAYED_LIFETIME
         self._set_relayed(True, "")
-        passed_on = bool(facts.leader)
-        if passed_on:
-            # The sender knows of the leader by hearsay, as we do.
-            self._duty.record_holder(
+        is_from_relay = bool(facts.leader)
+        if is_from_relay:
+            # The sender is a relay and has its facts from the leader.
+            self._lease.record_holder(
                 LeaseHolder(
                     vm=facts.leader,
                     address=facts.leaderAddress,
@@ -220,30 +220,32 @@
                 )
             )
             if facts.zoneVmsKnown:
-                self._take_zone(facts.zoneVms, now)
+                self._apply_zone_members(facts.zoneVms, now)
         else:
             self._informed_until = until
-            self._take_assignment(facts, now)
+            self._apply_assignment(facts, now)
         proof_age = facts.proofAgeUs / 1e6
         self._board.vm_count = max(1, facts.vms)
         if facts.samples:
-            self._take_samples(orjson.loads(facts.samples), asked_at)
-        if proof_age <= OLDEST_PROOF:
+            self._apply_samples(orjson.loads(facts.samples), asked_at)
+        if proof_age <= MAX_PROOF_AGE:
             self._records.apply_relayed(
                 orjson.loads(facts.records) if facts.records else None,
                 asked_at - proof_age,
                 until,
             )
-        self._duty.apply_relayed(
+        self._lease.apply_relayed(
             facts.leaseVersion, facts.leaseMs / 1000, asked_at
         )
         targets_age = facts.targetsAgeMs / 1000
-        if targets_age <= OLDEST_TARGETS:
+        if targets_age <= MAX_TARGETS_AGE:
             listed = decode_targets(facts.targets) if facts.targets else None
             self._targets.apply_relayed(listed, asked_at - targets_age, until)
         catalog_age = facts.catalogAgeMs / 1000
-        oldest = OLDEST_CATALOG + (RELAY_INTERVAL if passed_on else 0.0)
-        if catalog_age <= oldest:
+        max_catalog_age = MAX_CATALOG_AGE + (
+            RELAY_REQUEST_INTERVAL if is_from_relay else 0.0
+        )
+        if catalog_age <= max_catalog_age:
             self._catalog.apply_relayed(
                 facts.catalog,
                 asked_at - catalog_age,
@@ -252,55 +254,55 @@
                 facts.catalogData,
             )
 
-    def _take_zone(self, data: bytes, now: float) -> None:
-        listed = self._holders.listed
+    def _apply_zone_members(self, data: bytes, now: float) -> None:
+        listed = self._holders.members
         if data:
             rows = orjson.loads(data)
             listed = tuple(ZoneVm(name=n, address=a) for n, a in rows)
         self._holders.update_members(listed, now)
 
-    def _take_assignment(self, facts: Any, now: float) -> None:
+    def _apply_assignment(self, facts: Any, now: float) -> None:
         assignment: Assignment = AskLeader()
         if facts.servesZone:
             assignment = ServeZone()
         elif facts.relay:
             assignment = AskRelay(address=facts.relay)
         before = self._source.assignment
-        self._source.assigned(assignment, now)
+        self._source.update_assignment(assignment, now)
         if self._source.assignment != before:
             logs.log_event(
                 "facts_source",
                 serves_zone=self._source.serves_zone,
                 relay=facts.relay,
-                leader=self._duty.holder(),
+                leader=self._lease.holder(),
             )
 
-    def _take_samples(
+    def _apply_samples(
         self,
         rows: list[tuple[str, int, list[tuple[int, int, int]]]],
         asked_at: float,
     ) -> None:
-        """Take samples of primaries, of the records that we have as well.
+        """Add relayed samples of primaries whose records this VM has as well.
 
-        A VM of many sees few answers of a primary. With only a fresh sample
-        of its own it asks replicas for what they can't have yet, and all its
-        reads go to the primary.
+        One VM of many sees few answers of a primary. With only a recent sample
+        of its own, it would ask replicas for positions that they can't have
+        yet, and send all of its reads to the primary.
         """
         for name, version, samples in rows:
             group = self._board.group(name)
-            agreed = group.record
-            if agreed is None or agreed.version != version:
+            record = group.record
+            if record is None or record.version != version:
                 continue
             for age_us, term, index in samples:
                 position = Position(term=term, index=index)
                 group.samples.add(asked_at - age_us / 1e6, position)
 
-    def _samples(self, now: float) -> bytes:
-        """Return the newest samples of all groups, with their ages."""
+    def _encode_samples(self, now: float) -> bytes:
+        """Encode the newest samples of all groups, with their ages."""
         rows = []
         for name, group in self._board.groups.items():
-            agreed = group.record
-            if agreed is None or agreed.change is not None:
+            record = group.record
+            if record is None or record.change is not None:
                 continue
             samples = [
                 (
@@ -308,21 +310,21 @@
                     s.position.term,
                     s.position.index,
                 )
-                for s in spaced(group.samples.since(now - SAMPLES_OF))
+                for s in spread_samples(group.samples.since(now - SAMPLE_SPAN))
             ]
             if samples:
-                rows.append((name, agreed.version, samples))
+                rows.append((name, record.version, samples))
         return orjson.dumps(rows)
 
-    def _set_relayed(self, relayed: bool, why: str) -> None:
-        if relayed == self._relayed:
+    def _set_relayed(self, relayed: bool, reason: str) -> None:
+        if relayed == self._uses_relayed_facts:
             return
-        self._relayed = relayed
+        self._uses_relayed_facts = relayed
         logs.log_event(
             "facts_from",
             source="leader" if relayed else "platform",
-            leader=self._duty.holder(),
-            reason=why,
+            leader=self._lease.holder(),
+            reason=reason,
         )
         if not relayed:
             self._records.read_directly()
@@ -331,7 +333,7 @@
 
     def _on_leading(self, message: Any, _reply: Reply) -> None:
         leading = message.leading
-        self._duty.record_holder(
+        self._lease.record_holder(
             LeaseHolder(
                 vm=leading.vm,
                 address=leading.address,
@@ -339,47 +341,49 @@
             )
         )
 
-    # Answering.
+    # Requests from other VMs.
 
-    def _on_ask(self, message: Any, reply: Reply) -> None:
-        ask = message.factsAsk
+    def _on_request(self, message: Any, reply: Reply) -> None:
+        request = message.factsAsk
         now = self._reactor.now()
         answer = new_envelope()
         facts = answer.init("facts")
-        if self._duty.is_held:
+        if self._lease.is_held:
             facts.informed = True
-            self._fill(facts, ask)
-            self._assign(facts, ask, now)
+            self._fill_facts(facts, request)
+            self._fill_assignment(facts, request, now)
         elif self._source.serves_zone and now < self._informed_until:
             facts.informed = True
-            self._fill(facts, ask)
-            facts.leader = self._duty.holder()
-            facts.leaderAddress = self._duty.holder_address()
-            self._fill_zone(facts, ask, now)
+            self._fill_facts(facts, request)
+            facts.leader = self._lease.holder()
+            facts.leaderAddress = self._lease.holder_address()
+            self._fill_zone_members(facts, request, now)
         reply(answer)
 
-    def _fill_zone(self, facts: Any, ask: Any, now: float) -> None:
-        """Note who asks, and tell it who else of the zone does."""
-        self._zone_members.heard(ZoneVm(name=ask.vm, address=ask.address), now)
-        me = ZoneVm(
+    def _fill_zone_members(self, facts: Any, request: Any, now: float) -> None:
+        """Record the requesting VM, and tell it the other VMs of the zone."""
+        self._zone_members.record_contact(
+            ZoneVm(name=request.vm, address=request.address), now
+        )
+        local_vm = ZoneVm(
             name=self._board.vm, address=self._registry.local_vm.address
         )
-        vms = self._zone_members.vms(me, now)
+        vms = self._zone_members.vms(local_vm, now)
         if vms is None:
             return
         self._holders.update_members(vms, now)
         facts.zoneVmsKnown = True
-        data = _write_vms(self._holders.listed)
-        if digest_of(data) != ask.zoneVms:
+        data = _encode_vms(self._holders.members)
+        if digest(data) != request.zoneVms:
             facts.zoneVms = data
 
-    def _assign(self, facts: Any, ask: Any, now: float) -> None:
-        asker = FactRequester(
-            vm=ask.vm,
-            address=ask.address,
-            availability_zone=ask.availabilityZone,
+    def _fill_assignment(self, facts: Any, request: Any, now: float) -> None:
+        requester = FactRequester(
+            vm=request.vm,
+            address=request.address,
+            availability_zone=request.availabilityZone,
         )
-        match self._zone_relays.assign(asker, now):
+        match self._zone_relays.assign(requester, now):
             case ServeZone():
                 facts.servesZone = True
             case AskRelay(address=address):
@@ -387,32 +391,33 @@
             case AskLeader():
                 pass
 
-    def _fill(self, facts: Any, ask: Any) -> None:
+    def _fill_facts(self, facts: Any, request: Any) -> None:
         now = self._reactor.now()
         age = max(0.0, now - self._records.read_at)
         facts.proofAgeUs = min(int(age * 1e6) + 1, 2**62)
         records = self._records.as_bytes()
-        if digest_of(records) != ask.records:
+        if digest(records) != request.records:
             facts.records = records
-        lease = self._duty.last_seen_lease()
+        lease = self._lease.last_seen_lease()
         facts.leaseVersion = lease.version
-        facts.leaseMs = _ms(lease.duration)
-        news = encode_targets(self._targets.listed)
-        if digest_of(news) != ask.targets:
-            facts.targets = news
-        facts.targetsAgeMs = _ms(now - self._board.targets_seen_at)
+        facts.leaseMs = _milliseconds(lease.duration)
+        targets = encode_targets(self._targets.listed)
+        if digest(targets) != request.targets:
+            facts.targets = targets
+        facts.targetsAgeMs = _milliseconds(now - self._board.targets_seen_at)
         facts.catalog = self._catalog.version
-        facts.catalogAgeMs = _ms(now - self._catalog.checked_at)
-        # Rounded up: a key must not seem to be confirmed later than it was.
+        facts.catalogAgeMs = _milliseconds(now - self._catalog.checked_at)
+        # Rounded up, so that a key never appears to be confirmed later than it
+        # was.
         confirmed_ago = now - self._board.catalog_confirmed_at
-        facts.catalogConfirmedMs = _ms(confirmed_ago) + 1
-        facts.samples = self._samples(now)
+        facts.catalogConfirmedMs = _milliseconds(confirmed_ago) + 1
+        facts.samples = self._encode_samples(now)
         facts.vms = self._board.vm_count
 
 
-def _write_vms(vms: tuple[ZoneVm, ...]) -> bytes:
+def _encode_vms(vms: tuple[ZoneVm, ...]) -> bytes:
     return orjson.dumps([(vm.name, vm.address) for vm in vms])
 
 
-def _ms(seconds: float) -> int:
+def _milliseconds(seconds: float) -> int:
     return min(max(0, round(seconds * 1000)), 2**31)
--- a/bamboospring/sessions/session.py
+++ b/bamboospring/sessions/session.py
@@ -1,9 +1,10 @@
-"""One caller's session: its values, names, transaction and pending work.
+"""Keep the state of one caller's session and handle its statements.
 
-Statements are handled one at a time, in order. What needs no target is
-answered here: values, prepared names, the beginning and the rollback of a
-transaction. A transaction takes a connection only with its first statement,
-so that a caller who pauses after `begin` holds nothing of a target.
+Statements are handled one at a time, in order. Statements that need no target
+are answered here: session values, prepared names, and the begin and rollback
+of a transaction. A transaction gets a connection only with its first
+statement, so that a caller that pauses after `begin` occupies no connection of
+a target.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from bamboospring.pool import LeasedConnection
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Timer
+from bamboospring.sessions.access import access_refusal
 from bamboospring.sessions.access import Identity
-from bamboospring.sessions.access import judge_access
 from bamboospring.sessions.model import Route
 from bamboospring.sessions.model import SessionBoard
 from bamboospring.sessions.ports import AcknowledgedLocally
@@ -45,31 +46,33 @@
 
 __all__ = [
     "Job",
-    "MAX_PENDING",
+    "MAX_PENDING_STATEMENTS",
     "Session",
     "SessionTransaction",
     "StatementExecutor",
 ]
 
-# Statements that a caller may have sent ahead; the connection is not read on
-# beyond them.
-MAX_PENDING = 64
-# Seconds after which a caller that was told to go is closed all the same. It
-# goes when it hears so, which takes a way there and one back.
-DISMISSAL_WAIT = 0.5
-MAX_NAMES = 1024
+# The number of statements that a caller may send ahead. Beyond it, the proxy
+# stops reading from the connection.
+MAX_PENDING_STATEMENTS = 64
+# Seconds after a request to disconnect before the proxy closes the connection
+# itself. A caller closes it on receiving the request, which takes a network
+# round trip.
+DISCONNECT_TIMEOUT = 0.5
+MAX_PREPARED_STATEMENTS = 1024
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class SessionTransaction:
-    """An open transaction; `leased` once it has a connection.
+    """An open transaction.
 
-    `lost` names why it can't go on, for the next statement's answer.
+    `leased` is its connection once it has one; `lost_reason` is why it can't
+    continue, for the answer to the next statement.
     """
 
     route: Route
     read_only: bool
-    began_at: float
+    started_at: float
     leased: LeasedConnection | None = None
     at_replica: bool = False
     has_written: bool = False
@@ -78,10 +81,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class Job:
-    """One statement that a target has to run.
+    """One statement to run at a target.
 
-    `text` is None for a prepared statement, whose shape and arguments are
-    given instead.
+    `text` is None for a prepared statement, which has `shape` and `arguments`
+    instead. If `text` and `shape` are None, it is a commit.
     """
 
     id: str
@@ -97,7 +100,7 @@
 
 
 class StatementExecutor:
-    """What a session needs of whoever carries its statements out."""
+    """Runs the statements of sessions at targets."""
 
     def run(
         self,
@@ -106,7 +109,7 @@
         tx: SessionTransaction | None,
         on_complete: OnOutcome,
     ) -> None:
-        """Run a statement, in a transaction if there is one."""
+        """Run a statement, in a transaction if one is given."""
         raise NotImplementedError
 
     def commit(
@@ -121,11 +124,11 @@
         raise NotImplementedError
 
     def roll_back(self, tx: SessionTransaction) -> None:
-        """Roll a transaction back and give its connection up."""
+        """Roll back a transaction and release its connection."""
         raise NotImplementedError
 
-    def withdraw(self, session: Session) -> None:
-        """Forget what a caller who has gone still waits for."""
+    def cancel(self, session: Session) -> None:
+        """Cancel the pending statement of a caller that has disconnected."""
         raise NotImplementedError
 
 
@@ -138,20 +141,20 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Session:
-    """The state of one session and what it does with each statement."""
+    """The state of one session, and the handling of its statements."""
 
     caller: str
     database: str
     reactor: Reactor
     board: SessionBoard
-    worker: StatementExecutor
+    executor: StatementExecutor
     channel: CallerChannel
     identity: Identity = Identity()
     values: dict[str, str] = field(default_factory=dict)
     prepared_shapes: dict[str, Shape] = field(default_factory=dict)
     state: SessionState = SessionState.IDLE
     last_commit: Position = Position()
-    busy: bool = False
+    is_busy: bool = False
     disconnected: bool = False
     disconnect_requested: bool = False
     last_used_at: float = field(init=False)
@@ -164,28 +167,29 @@
 
     @property
     def is_backlog_full(self) -> bool:
-        """Tell whether the caller has sent too much ahead."""
-        return len(self._pending) >= MAX_PENDING
+        """Return whether the caller has sent too many statements ahead."""
+        return len(self._pending) >= MAX_PENDING_STATEMENTS
 
     @property
     def queue_key(self) -> str:
-        """Return whom queues count this session's statements for.
+        """Return the key under which queues count this session's statements.
 
-        Teams share a queue evenly, whatever their numbers of callers.
+        It is the team if there is one, so that teams share a queue evenly,
+        however many callers they have.
         """
         return self.identity.team or self.caller
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is under way and nothing is open."""
+        """Return whether nothing is pending and no transaction is open."""
         return (
-            not self.busy
+            not self.is_busy
             and not self._pending
             and self.state is SessionState.IDLE
         )
 
     def submit(self, id: str, statement: SessionStatement) -> None:
-        """Take a statement; it is handled after those before it."""
+        """Queue a statement; it is handled after those before it."""
         if self.disconnect_requested:
             self.channel.finish_refusal(self.state)
             self.channel.close()
@@ -195,106 +199,111 @@
                 id=id, statement=statement, received_at=self.reactor.now()
             )
         )
-        if not self.busy:
-            self._next()
+        if not self.is_busy:
+            self._handle_next()
 
     def handle_disconnect(self) -> None:
-        """Forget everything: the caller has gone."""
+        """Discard all state after the caller has disconnected."""
         if self.disconnected:
             return
         self.disconnected = True
         self._pending.clear()
         self._stop_timer()
-        self.worker.withdraw(self)
-        if not self.busy:
+        self.executor.cancel(self)
+        if not self.is_busy:
             self._drop_transaction()
 
     def request_disconnect(self) -> None:
-        """Have the caller go once nothing is under way and nothing is open.
+        """Ask the caller to disconnect if the session is idle.
 
-        It is sent a refusal that it did not ask for, and closes. A statement
-        that is on its way meanwhile takes this for its answer and is not run.
-        Were the connection closed on it, its caller could not tell whether
-        it ran, and a write would not be sent again.
+        The caller is sent a refusal without having asked for anything, and
+        closes the connection. A statement that it has just sent takes this
+        refusal as its answer and is not run. If the proxy closed the
+        connection instead, the caller could not know whether the statement
+        ran, and would not retry a write.
         """
         if not self.is_idle or self.disconnected or self.disconnect_requested:
             return
         self.disconnect_requested = True
         self.channel.begin_refusal(NotRun(reason=Reason.DRAINING))
-        self.reactor.call_later(DISMISSAL_WAIT, self.channel.close)
+        self.reactor.call_later(DISCONNECT_TIMEOUT, self.channel.close)
 
     def abandon_transaction(self, reason: Reason) -> None:
-        """Roll back an open transaction on which nothing is under way.
+        """Roll back an open transaction that has no statement in progress.
 
-        The caller learns it with the answer to its next statement: whatever
-        is sent without being asked for would be taken for that answer.
+        The caller is told with the answer to its next statement: anything sent
+        without a request would be taken for that answer.
         """
         tx = self.transaction
-        if tx is None or tx.lost_reason is not None or self.busy:
+        if tx is None or tx.lost_reason is not None or self.is_busy:
             return
         tx.lost_reason = reason
-        self.worker.roll_back(tx)
+        self.executor.roll_back(tx)
 
-    # One statement after the other.
+    # Handling of statements, one at a time.
 
-    def _next(self) -> None:
-        while self._pending and not self.busy and not self.disconnected:
+    def _handle_next(self) -> None:
+        while self._pending and not self.is_busy and not self.disconnected:
             pending = self._pending.popleft()
             self._stop_timer()
-            self.busy = True
+            self.is_busy = True
             self._handle(pending)
 
     def _handle(self, pending: _Pending) -> None:
         match pending.statement:
             case SetValue(name=name, value=value):
-                self._locally(lambda: self.values.__setitem__(name, value))
+                self._apply_locally(
+                    lambda: self.values.__setitem__(name, value)
+                )
             case Prepare():
                 self._prepare(pending.statement)
             case Deallocate(name=name):
-                self._release(name)
+                self._deallocate(name)
             case MalformedStatement(message=message):
                 self._reject(message)
             case _ if self.state is SessionState.FAILED:
                 self._handle_failed(pending.statement)
             case Begin(read_only=read_only):
-                self._begin(read_only, pending.received_at)
+                self._begin_transaction(read_only, pending.received_at)
             case Rollback():
-                self._roll_back()
+                self._roll_back_transaction()
             case Commit():
-                self._commit(pending)
+                self._commit_transaction(pending)
             case TextStatement(writes=writes, text=text):
-                self._work(pending, writes=writes, text=text)
+                self._run_text(pending, writes=writes, text=text)
             case Execute(name=name, arguments=arguments):
-                self._execute(pending, name, arguments)
+                self._run_prepared(pending, name, arguments)
 
-    def _locally(self, act: Callable[[], None]) -> None:
+    def _apply_locally(self, action: Callable[[], None]) -> None:
         if self.state is SessionState.FAILED:
             self._reject("the transaction has failed")
             return
-        act()
+        action()
         self._answer(AcknowledgedLocally())
 
     def _prepare(self, statement: Prepare) -> None:
         if (
-            len(self.prepared_shapes) >= MAX_NAMES
+            len(self.prepared_shapes) >= MAX_PREPARED_STATEMENTS
             and statement.name not in self.prepared_shapes
         ):
             self._reject("too many prepared statements")
             return
         name, shape = statement.name, statement.shape
-        self._locally(lambda: self.prepared_shapes.__setitem__(name, shape))
+        self._apply_locally(
+            lambda: self.prepared_shapes.__setitem__(name, shape)
+        )
 
-    def _release(self, name: str) -> None:
+    def _deallocate(self, name: str) -> None:
         if (
             name not in self.prepared_shapes
             and self.state is not SessionState.FAILED
         ):
-            self._unknown_name(name)
+            self._reject_unknown_name(name)
             return
-        self._locally(lambda: self.prepared_shapes.__delitem__(name))
+        self._apply_locally(lambda: self.prepared_shapes.__delitem__(name))
 
     def _handle_failed(self, statement: SessionStatement) -> None:
-        """Answer in a failed transaction: all that helps is to end it."""
+        """Answer in a failed transaction, which can only be ended."""
         match statement:
             case Rollback():
                 self._end_transaction()
@@ -310,25 +319,25 @@
             case _:
                 self._reject("the transaction has failed")
 
-    def _begin(self, read_only: bool, received_at: float) -> None:
+    def _begin_transaction(self, read_only: bool, received_at: float) -> None:
         if self.transaction is not None:
             self._reject("a transaction is open already")
             return
         route = self.board.route(self.database)
         if route is None:
-            self._answer(self._no_route())
+            self._answer(self._unknown_group())
             return
         refusal = self._access_refusal(route, received_at)
         if refusal is not None:
             self._answer(refusal)
             return
         self.transaction = SessionTransaction(
-            route=route, read_only=read_only, began_at=received_at
+            route=route, read_only=read_only, started_at=received_at
         )
         self.state = SessionState.OPEN
         self._answer(AcknowledgedLocally())
 
-    def _roll_back(self) -> None:
+    def _roll_back_transaction(self) -> None:
         if self.transaction is None:
             self._reject("no transaction is open")
             return
@@ -336,7 +345,7 @@
         self.state = SessionState.IDLE
         self._answer(AcknowledgedLocally())
 
-    def _commit(self, pending: _Pending) -> None:
+    def _commit_transaction(self, pending: _Pending) -> None:
         tx = self.transaction
         if tx is None:
             self._reject("no transaction is open")
@@ -352,22 +361,28 @@
             self._answer(refusal)
             return
 
-        def done(outcome: SessionOutcome, position: Position | None) -> None:
+        def on_complete(
+            outcome: SessionOutcome, position: Position | None
+        ) -> None:
             self.transaction = None
             self.state = SessionState.IDLE
             if isinstance(outcome, Served) and tx.has_written and position:
                 self.last_commit = max(self.last_commit, position)
             self._answer(outcome, position)
 
-        self.worker.commit(self, tx, pending.id, pending.received_at, done)
+        self.executor.commit(
+            self, tx, pending.id, pending.received_at, on_complete
+        )
 
-    def _work(self, pending: _Pending, *, writes: bool, text: str) -> None:
+    def _run_text(self, pending: _Pending, *, writes: bool, text: str) -> None:
         self._run(pending, writes=writes, text=text)
 
-    def _execute(self, pending: _Pending, name: str, arguments: str) -> None:
+    def _run_prepared(
+        self, pending: _Pending, name: str, arguments: str
+    ) -> None:
         shape = self.prepared_shapes.get(name)
         if shape is None:
-            self._unknown_name(name)
+            self._reject_unknown_name(name)
             return
         self._run(
             pending, writes=shape.writes, shape=shape, arguments=arguments
@@ -385,7 +400,7 @@
         tx = self.transaction
         route = tx.route if tx else self.board.route(self.database)
         if route is None:
-            self._answer(self._no_route())
+            self._answer(self._unknown_group())
             return
         if tx is not None and tx.lost_reason is not None:
             self.state = SessionState.FAILED
@@ -395,7 +410,7 @@
         if refusal is not None:
             if tx is not None:
                 self.state = SessionState.FAILED
-                self._drop_transaction_work()
+                self._release_connection()
             self._answer(refusal)
             return
         job = Job(
@@ -408,7 +423,9 @@
             arguments=arguments,
         )
 
-        def done(outcome: SessionOutcome, position: Position | None) -> None:
+        def on_complete(
+            outcome: SessionOutcome, position: Position | None
+        ) -> None:
             served = isinstance(outcome, Served)
             if tx is not None and not served:
                 self.state = SessionState.FAILED
@@ -416,36 +433,36 @@
                 self.last_commit = max(self.last_commit, position)
             self._answer(outcome, position)
 
-        self.worker.run(self, job, tx, done)
+        self.executor.run(self, job, tx, on_complete)
 
     def _access_refusal(
         self, route: Route, received_at: float
     ) -> NotRun | Overloaded | None:
-        """Return why this session's key may not run what has just come."""
-        return judge_access(self.board, route, self.identity, received_at)
+        """Return why this session's key may not run the new statement."""
+        return access_refusal(self.board, route, self.identity, received_at)
 
     # Answers.
 
     def _reject(self, message: str) -> None:
-        """Refuse what makes no sense here; a transaction then has failed."""
+        """Reject an invalid statement; an open transaction then fails."""
         if self.state is SessionState.OPEN:
             self.state = SessionState.FAILED
-            self._drop_transaction_work()
+            self._release_connection()
         self._answer(Failed(reason=Reason.BAD_REQUEST, message=message))
 
-    def _unknown_name(self, name: str) -> None:
+    def _reject_unknown_name(self, name: str) -> None:
         if self.state is SessionState.OPEN:
             self.state = SessionState.FAILED
-            self._drop_transaction_work()
+            self._release_connection()
         self._answer(Failed(reason=Reason.NO_STATEMENT, message=name))
 
-    def _no_route(self) -> NotRun:
+    def _unknown_group(self) -> NotRun:
         return NotRun(reason=Reason.UNKNOWN_GROUP, message=self.database)
 
     def _answer(
         self, outcome: SessionOutcome, position: Position | None = None
     ) -> None:
-        self.busy = False
+        self.is_busy = False
         self.last_used_at = self.reactor.now()
         if self.disconnected:
             self._drop_transaction()
@@ -455,34 +472,35 @@
         )
         if self.transaction is not None and not self._pending:
             self._start_timer()
-        # A later turn: a long row of statements must not nest its calls.
+        # Handled in a later turn of the event loop, so that many statements
+        # sent ahead don't nest their calls.
         if self._pending:
             self.reactor.call_later(0, self._resume)
 
     def _resume(self) -> None:
-        if not self.busy:
-            self._next()
+        if not self.is_busy:
+            self._handle_next()
 
-    # The end of transactions.
+    # Ending transactions.
 
     def _end_transaction(self) -> None:
         self._drop_transaction()
         self.state = SessionState.IDLE
 
     def _drop_transaction(self) -> None:
-        self._drop_transaction_work()
+        self._release_connection()
         self.transaction = None
 
-    def _drop_transaction_work(self) -> None:
+    def _release_connection(self) -> None:
         tx = self.transaction
         if tx is not None and tx.leased is not None:
-            self.worker.roll_back(tx)
+            self.executor.roll_back(tx)
 
     def _start_timer(self) -> None:
         catalog = self.board.catalog
         if catalog is not None:
             self._idle_timer = self.reactor.call_later(
-                catalog.transaction_idle_timeout, self._idle_too_long
+                catalog.transaction_idle_timeout, self._on_idle_timeout
             )
 
     def _stop_timer(self) -> None:
@@ -490,8 +508,8 @@
             self._idle_timer.cancel()
             self._idle_timer = None
 
-    def _idle_too_long(self) -> None:
-        # A transaction that rests keeps a connection, and a lock, that all
-        # others of the group may be waiting for.
+    def _on_idle_timeout(self) -> None:
+        # An idle transaction holds a connection, and possibly a lock that all
+        # other callers of the group wait for.
         self._idle_timer = None
         self.abandon_transaction(Reason.TRANSACTION_IDLE)
--- a/bamboospring/sessions/session_metrics.py
+++ b/bamboospring/sessions/session_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of a VM that serves sessions."""
+"""Collect counters and latency histograms of a VM that serves sessions."""
 
 from __future__ import annotations
 
@@ -34,16 +34,18 @@
 
 __all__ = ["SessionMetrics", "largest_teams"]
 
-# Routes are named by operators; more than this are counted together.
+# Operators choose the names of routes, so their number is bounded: further
+# routes are counted together.
 MAX_ROUTES = 64
 OTHER_ROUTES = "_other"
-# The teams that send most are shown by name, the others together.
+# The number of teams shown by name, those that send most; others are counted
+# together.
 MAX_TEAMS = 32
 OTHER_TEAMS = "_other"
 
 
 class SessionMetrics:
-    """Counts what became of statements, and shows what the node holds."""
+    """Counts the outcomes of statements and exports the state of the node."""
 
     def __init__(self, *, board: SessionBoard) -> None:
         self._board = board
@@ -58,50 +60,50 @@
         self._teams: dict[str, Counter[str]] = {}
         self._replica_reads = 0
         self._hedged = 0
-        self._passed_on = 0
-        self._unready = ""
+        self._forwarded = 0
+        self._unready_reason = ""
 
-    def told(
-        self, story: StatementTrace, outcome: SessionOutcome, seconds: float
+    def record_statement(
+        self, trace: StatementTrace, outcome: SessionOutcome, elapsed: float
     ) -> None:
-        """Count a statement whose outcome is known."""
-        kind = job_kind(story.job)
-        self._record(self._durations, kind, seconds)
-        if story.sent_at:
-            waited = story.sent_at - story.job.received_at
+        """Count a finished statement."""
+        kind = job_kind(trace.job)
+        self._record(self._durations, kind, elapsed)
+        if trace.first_sent_at:
+            waited = trace.first_sent_at - trace.job.received_at
             self._record(self._waits, kind, waited)
-        cause = outcome_name(outcome)
+        outcome_key = outcome_name(outcome)
         reason = getattr(outcome, "reason", None)
         if reason is not None:
-            cause = f"{cause}.{reason.value}"
-        key = (self._route(story.job.route.name), kind, cause)
+            outcome_key = f"{outcome_key}.{reason.value}"
+        key = (self._route(trace.job.route.name), kind, outcome_key)
         self._outcomes[key] = self._outcomes.get(key, 0) + 1
-        team = story.session.identity.team
+        team = trace.session.identity.team
         if team:
             counts = self._teams.setdefault(team, Counter())
             counts[_team_outcome(outcome)] += 1
-        self._hedged += story.hedged
-        self._passed_on += bool(story.through)
+        self._hedged += trace.hedged
+        self._forwarded += bool(trace.through)
         if isinstance(outcome, Served) and outcome.at_replica:
             self._replica_reads += 1
 
-    def said_ready(self, why: str) -> None:
-        """Note the answer to the platform, and log it when it changes."""
-        if why != self._unready:
-            self._unready = why
-            logs.log_event("readiness", ready=not why, reason=why)
+    def record_readiness(self, reason: str) -> None:
+        """Record the readiness told to the platform; log its changes."""
+        if reason != self._unready_reason:
+            self._unready_reason = reason
+            logs.log_event("readiness", ready=not reason, reason=reason)
 
     def watch_node(
         self,
         *,
         pools: Pools[SessionLink],
         platform: PlatformClient,
-        duty: LeaderLease,
+        lease: LeaderLease,
         listener: CallerListener,
         holder_server: HolderServer,
         now: Callable[[], float],
     ) -> None:
-        """Show what the components of the node hold and have counted."""
+        """Add metrics of the node's components."""
         watch = self._metrics.watch
         watch(
             "process.cpu.time",
@@ -142,7 +144,7 @@
         )
         watch(
             "bamboospring.statements.held",
-            lambda: holder_server.taken,
+            lambda: holder_server.received_count,
             kind=Kind.COUNTER,
             description="Reads that other VMs have passed on to this one.",
         )
@@ -167,7 +169,7 @@
         )
         watch(
             "bamboospring.leads",
-            lambda: int(duty.is_held),
+            lambda: int(lease.is_held),
             description="1 where changes of primary are led.",
         )
         watch(
@@ -188,10 +190,10 @@
         )
 
     def load_exporter(self) -> None:
-        """Import what turns the numbers into text; may run in a thread.
+        """Import the exporter; may run in a thread.
 
-        Importing it takes 0.1 s and 9 MB, which a VM whose metrics nobody
-        reads need not spend, and its start even less.
+        The import takes 0.1 s and 9 MB, which a VM whose metrics nobody reads
+        should not spend, least of all at its start.
         """
         if self._exporter is None:
             from bamboospring.metrics_export import Exporter
@@ -202,7 +204,7 @@
             )
 
     def text(self) -> bytes | None:
-        """Return it all as Prometheus reads it; None before it is loaded."""
+        """Return the metrics as Prometheus text; None without an exporter."""
         if self._exporter is None:
             return None
         return self._exporter.text(self._series())
@@ -253,7 +255,7 @@
         for name, value, text in (
             ("reads.replica", self._replica_reads, "Reads at replicas."),
             ("reads.hedged", self._hedged, "Reads also sent elsewhere."),
-            ("reads.passed_on", self._passed_on, "Reads at holders."),
+            ("reads.passed_on", self._forwarded, "Reads at holders."),
         ):
             yield Series(
                 name=f"bamboospring.{name}",
@@ -271,22 +273,23 @@
         return name
 
     def _record(
-        self, where: dict[str, Distribution], kind: str, seconds: float
+        self, distributions: dict[str, Distribution], kind: str, seconds: float
     ) -> None:
-        where.setdefault(kind, Distribution()).record(seconds)
+        distributions.setdefault(kind, Distribution()).record(seconds)
 
 
 def largest_teams(
-    teams: dict[str, Counter[str]], most: int = MAX_TEAMS
+    teams: dict[str, Counter[str]], max_teams: int = MAX_TEAMS
 ) -> dict[str, Counter[str]]:
-    """Return the counts of the teams that sent most, and of all others.
+    """Return the counts of the teams that sent most and of the others.
 
-    A scrape stays bounded, however many teams there are.
+    All others are counted together, which bounds the size of a scrape, however
+    many teams there are.
     """
     ranked = sorted(teams, key=lambda team: (-teams[team].total(), team))
-    shown = {team: teams[team] for team in ranked[:most]}
+    shown = {team: teams[team] for team in ranked[:max_teams]}
     others: Counter[str] = Counter()
-    for team in ranked[most:]:
+    for team in ranked[max_teams:]:
         others.update(teams[team])
     if others:
         shown[OTHER_TEAMS] = others
--- a/bamboospring/sessions/session_shutdown.py
+++ b/bamboospring/sessions/session_shutdown.py
@@ -1,10 +1,11 @@
-"""Leave without cutting a statement: the shutdown of a VM with sessions.
-
-The process says at once that it is not ready, so that the platform sends new
-connections elsewhere; that takes it two looks. Sessions at rest are closed a
-few at a time: their callers reconnect elsewhere, and all at once would be a
-herd. Those at work are left to it until the platform has had time to notice,
-and sessions in a transaction have half of the time to end it.
+"""Shut down a VM with sessions without interrupting statements.
+
+The process reports at once that it is not ready, so that the platform sends
+new connections to other VMs; the platform needs two readiness checks to
+notice. Idle sessions are disconnected a few at a time, because callers that
+all reconnect elsewhere at once would overload the other VMs. Sessions in use
+are left alone until the platform has had time to notice, and sessions in a
+transaction have half of the grace time to end it.
 """
 
 from __future__ import annotations
@@ -29,67 +30,70 @@
 
 __all__ = [
     "SessionShutdown",
-    "sessions_to_disconnect",
-    "plan_shutdown",
     "disconnect_count",
+    "plan_shutdown",
+    "sessions_to_disconnect",
 ]
 
 CHECK_INTERVAL = 0.05
-# The parts of the grace time: the platform has noticed, sessions at rest are
-# closed, open transactions are ended, the process has gone.
-NOTICED = 0.42
-# A session that was opened or answered less than so many seconds ago is at
-# work: its next statement is likely on its way. It is spared until the last
-# call, after which whatever rests is told to go.
-AT_WORK = 0.3
-RESTING_CLOSED = 0.40
-TRANSACTIONS_END = 0.5
-GONE = 0.88
+# Fractions of the grace time by which these are done: the platform has noticed
+# that the VM is not ready, idle sessions are disconnected, open transactions
+# are ended, the process has exited.
+NOTICE_FRACTION = 0.42
+# A session that was opened or answered less than this many seconds ago is in
+# use: its next statement is probably on its way. It is not disconnected until
+# IDLE_CLOSED_FRACTION of the grace time has passed; after that, every idle
+# session is.
+RECENT_USE = 0.3
+IDLE_CLOSED_FRACTION = 0.40
+TRANSACTIONS_END_FRACTION = 0.5
+EXIT_FRACTION = 0.88
 
 
 def plan_shutdown(begun_at: float, grace: float) -> DrainPlan:
-    """Return the times of a shutdown that has `grace` seconds."""
+    """Return the phases of a shutdown that takes `grace` seconds."""
     return DrainPlan(
         started_at=begun_at,
-        notice_period=grace * NOTICED,
-        idle_grace=grace * (GONE - NOTICED),
-        max_duration=grace * GONE,
+        notice_period=grace * NOTICE_FRACTION,
+        idle_grace=grace * (EXIT_FRACTION - NOTICE_FRACTION),
+        max_duration=grace * EXIT_FRACTION,
     )
 
 
 def disconnect_count(
-    resting: int, elapsed: float, grace: float, interval: float
+    idle_count: int, elapsed: float, grace: float, interval: float
 ) -> int:
-    """Return how many sessions at rest to close now.
+    """Return how many idle sessions to disconnect now.
 
-    They are spread evenly over what is left of their time.
+    They are spread evenly over the remaining time for it.
     """
-    left = grace * RESTING_CLOSED - elapsed
-    if left <= interval:
-        return resting
-    return -(-resting * interval // left).__int__()
+    remaining = grace * IDLE_CLOSED_FRACTION - elapsed
+    if remaining <= interval:
+        return idle_count
+    return -(-idle_count * interval // remaining).__int__()
 
 
 def sessions_to_disconnect(
     sessions: Iterable[Session], *, elapsed: float, grace: float, now: float
 ) -> list[Session]:
-    """Return the sessions to tell to go now, those at rest longest first.
+    """Return the sessions to disconnect now, those idle longest first.
 
-    Those at work are spared until the last call. Told between two statements
-    they would come back to this VM, which the platform still names to them,
-    set their values anew, and be told again: in a zone with one VM left that
-    was one in ten operations refused while it stopped.
+    Sessions in use are left alone until the final round. If they were
+    disconnected between two statements, their callers would reconnect to this
+    VM, which the platform still lists, set their values again, and be
+    disconnected again. In a zone with one remaining VM, this refused one in
+    ten operations during its shutdown.
     """
-    resting = [s for s in sessions if s.is_idle and not s.disconnect_requested]
-    resting.sort(key=lambda session: session.last_used_at)
-    count = disconnect_count(len(resting), elapsed, grace, CHECK_INTERVAL)
-    last_call = elapsed >= grace * RESTING_CLOSED
-    spared = 0.0 if last_call else AT_WORK
-    return [s for s in resting[:count] if now - s.last_used_at >= spared]
+    idle = [s for s in sessions if s.is_idle and not s.disconnect_requested]
+    idle.sort(key=lambda session: session.last_used_at)
+    count = disconnect_count(len(idle), elapsed, grace, CHECK_INTERVAL)
+    is_final = elapsed >= grace * IDLE_CLOSED_FRACTION
+    min_idle = 0.0 if is_final else RECENT_USE
+    return [s for s in idle[:count] if now - s.last_used_at >= min_idle]
 
 
 class SessionShutdown(BaseComponent):
-    """Ends the process on SIGTERM, at once on a second one."""
+    """Shuts the process down on SIGTERM, immediately on a second one."""
 
     channel = "*"
 
@@ -100,19 +104,19 @@
         board: SessionBoard,
         callers: CallerListener,
         grace: float,
-        held: Callable[[], int],
+        blocking_count: Callable[[], int],
     ) -> None:
         super().__init__()
         self._reactor = reactor
         self._board = board
         self._callers = callers
         self._grace = grace
-        self._held = held
+        self._blocking_count = blocking_count
         self._plan: DrainPlan | None = None
         self._transactions_ended = False
 
     def begin(self) -> None:
-        """Start the shutdown; does nothing when it is under way."""
+        """Start the shutdown, unless it has already started."""
         if self._plan is not None:
             return
         self._plan = plan_shutdown(self._reactor.now(), self._grace)
@@ -125,7 +129,8 @@
         if number not in SIGNALS:
             return
         if self._plan is None:
-            # In a later turn: the signal may have come amid anything.
+            # Runs in a later turn of the event loop: the signal may have
+            # interrupted any code.
             self._reactor.call_later(0, self.begin)
         else:
             self.root.stop()
@@ -135,29 +140,29 @@
         now = self._reactor.now()
         elapsed = now - self._plan.started_at
         sessions = self._callers.sessions()
-        self._close_some(elapsed)
-        if elapsed >= self._grace * TRANSACTIONS_END:
+        self._disconnect_some(elapsed)
+        if elapsed >= self._grace * TRANSACTIONS_END_FRACTION:
             self._end_transactions()
-        work = sum(not session.is_idle for session in sessions)
+        active_count = sum(not session.is_idle for session in sessions)
         phase = drain_phase(
             self._plan,
             now=now,
-            work=work + self._held(),
+            work=active_count + self._blocking_count(),
             connections=len(sessions),
         )
         if phase is DrainPhase.FAREWELL:
-            self._end(elapsed)
+            self._finish(elapsed)
             return
         self._reactor.call_later(CHECK_INTERVAL, self._check)
 
-    def _close_some(self, elapsed: float) -> None:
-        chosen = sessions_to_disconnect(
+    def _disconnect_some(self, elapsed: float) -> None:
+        sessions = sessions_to_disconnect(
             self._callers.sessions(),
             elapsed=elapsed,
             grace=self._grace,
             now=self._reactor.now(),
         )
-        for session in chosen:
+        for session in sessions:
             session.request_disconnect()
 
     def _end_transactions(self) -> None:
@@ -167,13 +172,13 @@
         for session in self._callers.sessions():
             session.abandon_transaction(Reason.DRAINING)
 
-    def _end(self, elapsed: float) -> None:
-        left = [s for s in self._callers.sessions() if not s.is_idle]
+    def _finish(self, elapsed: float) -> None:
+        unfinished = [s for s in self._callers.sessions() if not s.is_idle]
         logs.log_event(
             "stopped",
-            level=logs.Level.WARNING if left else logs.Level.INFO,
+            level=logs.Level.WARNING if unfinished else logs.Level.INFO,
             seconds=elapsed,
-            unfinished=len(left),
+            unfinished=len(unfinished),
         )
         self._callers.listener.close()
         self.root.stop()
--- a/bamboospring/sessions/target_control.py
+++ b/bamboospring/sessions/target_control.py
@@ -1,4 +1,4 @@
-"""Ask targets for their place in the group, and give them orders."""
+"""Ask targets for reports and give them control orders."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 from bamboospring.sessions.ports import TargetReply
 from bamboospring.sessions.proofs import TargetReport
 
-__all__ = ["NoReport", "ControlOrder", "TargetControl"]
+__all__ = ["ControlOrder", "NoReport", "TargetControl"]
 
 ControlOrder = AskReport | HoldTerm | ResumeReceiving | StepDown
 
-# Control goes before all statements.
-URGENCY = -1
-CALLER = "control"
+# Control orders precede all statements.
+CONTROL_URGENCY = -1
+CONTROL_CALLER = "control"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NoReport:
-    """No report was had.
+    """No report was received.
 
-    `refused` if no process listens there, `busy` if the target has answered
-    that it has no slot or no place for a connection.
+    `refused` if no process listens at the target's address, `busy` if the
+    target has answered that it has no slot or no place for a connection.
     """
 
     refused: bool = False
@@ -47,56 +47,60 @@
 
 
 class TargetControl:
-    """Questions to targets over the connections of the pools."""
+    """Sends control orders over the pools' connections to targets."""
 
     def __init__(self, *, reactor: Reactor, pools: Pools[SessionLink]) -> None:
         self._reactor = reactor
         self._pools = pools
 
     def _no_report(self, target: Target, reason: Reason) -> NoReport:
-        # A target that has no place for a connection has answered that it has
-        # none. Taken for silence, a primary that is only busy is replaced.
+        # A target that has no place for a connection has answered so. If this
+        # counted as no response, a primary that is only busy would be
+        # replaced.
         busy = reason is Reason.TARGET_CONNECTIONS
         refused = self._pools.pool(target).refused_since is not None
         return NoReport(refused=refused and not busy, busy=busy)
 
     def unanswered_since(self, target: Target) -> float | None:
-        """Return since when this VM has asked a target without a word."""
+        """Return since when this VM has had no response from a target."""
         return self._pools.pool(target).unanswered_since
 
     def refused_since(self, target: Target) -> float | None:
-        """Return since when a target's machine refuses this VM."""
+        """Return since when a target's machine has refused connections."""
         return self._pools.pool(target).refused_since
 
     def ask(
         self,
         group: SessionGroup,
         name: str,
-        question: ControlOrder,
+        order: ControlOrder,
         timeout: float,
         on_report: OnReport,
     ) -> None:
-        """Ask one target; calls back once, within about `timeout`."""
-        news = group.targets.get(name)
-        if news is None:
+        """Send an order to one target; call back once.
+
+        The callback is called within about `timeout` seconds.
+        """
+        listed = group.targets.get(name)
+        if listed is None:
             self._reactor.call_later(0, lambda: on_report(NoReport()))
             return
-        target = news.target
-        began = self._reactor.now()
+        target = listed.target
+        started_at = self._reactor.now()
 
-        def ready(
+        def on_leased(
             leased: LeasedConnection[SessionLink] | NotRun | Overloaded,
         ) -> None:
             if not isinstance(leased, LeasedConnection):
                 on_report(self._no_report(target, leased.reason))
                 return
             sent_at = self._reactor.now()
-            left = max(0.05, began + timeout - sent_at)
+            remaining = max(0.05, started_at + timeout - sent_at)
             leased.conn.send(
-                [question], left, lambda r: done(leased, sent_at, r)
+                [order], remaining, lambda r: on_result(leased, sent_at, r)
             )
 
-        def done(
+        def on_result(
             leased: LeasedConnection[SessionLink],
             sent_at: float,
             result: list[TargetReply] | LinkLost,
@@ -117,5 +121,9 @@
             on_report(reply.report)
 
         self._pools.acquire(
-            target, began + timeout, CALLER, ready, urgency=URGENCY
+            target,
+            started_at + timeout,
+            CONTROL_CALLER,
+            on_leased,
+            urgency=CONTROL_URGENCY,
         )
