--- a/bamboospring/adaptive_timeout.py
+++ b/bamboospring/adaptive_timeout.py
@@ -1,12 +1,13 @@
-"""How long an answer is worth waiting for, by those that came.
+"""Derive the timeout of a call from the durations of previous calls.
 
-The load that it answers: a platform that carries writes out and loses their
-answers. A caller that waits for a fixed second, where answers take 4 ms, asks
-again a second late; a lease is lost by two such waits, and a change of primary
-stands still for each. A fixed short time would fail all calls of a platform
-that is slow. So the limit follows what is seen, and grows while nothing is.
+The platform may execute a write and lose the answer. With a fixed timeout of
+one second, where answers take 4 ms, the retry comes a second late: two such
+waits lose a lease, and a change of primary makes no progress during each. A
+fixed short timeout would fail all calls when the platform is slow. So the
+timeout follows the observed durations and doubles with each call without an
+answer.
 
-Nothing here does I/O or asks for the time.
+This module does no I/O and does not read the clock.
 """
 
 from __future__ import annotations
@@ -17,37 +18,37 @@
 
 __all__ = ["AdaptiveTimeout"]
 
-# So many of the last answers are looked at, and the limit is so many times
-# the slowest of them: answers of one platform vary by less.
-LOOKED_AT = 8
-TIMES_SLOWEST = 3.0
+# The timeout is `SLOWEST_FACTOR` times the slowest of the last `SAMPLE_COUNT`
+# answers. The answer times of one platform vary by less than this factor.
+SAMPLE_COUNT = 8
+SLOWEST_FACTOR = 3.0
 
 
 @dataclass(slots=True, kw_only=True)
 class AdaptiveTimeout:
-    """The seconds that the last answers took, and what was lost since.
+    """The durations of the last answers and the timeouts since, in seconds.
 
-    `least` is the shortest limit, which also is the first.
+    `min_timeout` is the lower bound and the initial value.
     """
 
     min_timeout: float
-    _last: deque[float] = field(
-        default_factory=lambda: deque(maxlen=LOOKED_AT)
+    _durations: deque[float] = field(
+        default_factory=lambda: deque(maxlen=SAMPLE_COUNT)
     )
-    _lost: int = 0
+    _timeouts: int = 0
 
     def record_answer(self, seconds: float) -> None:
-        """Note an answer."""
-        self._last.append(seconds)
-        self._lost = 0
+        """Record an answer that took `seconds`."""
+        self._durations.append(seconds)
+        self._timeouts = 0
 
     def record_timeout(self) -> None:
-        """Note a call without an answer; the next is given twice as long."""
-        self._lost += 1
+        """Record a call without an answer; the next timeout is doubled."""
+        self._timeouts += 1
 
     def timeout(self, max_timeout: float) -> float:
-        """Return how long to wait for the next answer, `most` at most."""
-        slowest = max(self._last, default=0.0)
-        usual = max(self.min_timeout, TIMES_SLOWEST * slowest)
-        # Bounded, because a long outage must not overflow the power.
-        return min(max_timeout, usual * 2.0 ** min(self._lost, 16))
+        """Return the timeout of the next call, at most `max_timeout`."""
+        slowest = max(self._durations, default=0.0)
+        usual = max(self.min_timeout, SLOWEST_FACTOR * slowest)
+        # The exponent is bounded so that a long outage does not overflow.
+        return min(max_timeout, usual * 2.0 ** min(self._timeouts, 16))
--- a/bamboospring/admission.py
+++ b/bamboospring/admission.py
@@ -1,14 +1,15 @@
-"""Decide which statements get a slot at a target now, later or not at all.
-
-One `Admission` stands before this holder's share of a target's slots. What
-can't run now waits in a bounded queue, ordered by rounds: the n-th statement
-that a caller has in the queue belongs to the n-th round, so a caller that
-floods it only delays itself. Within a round the earliest deadline goes first.
-
-What would not get its slot in time is refused at once, and not when its
-deadline has passed: its caller can then go elsewhere or come back later, and
-the queue holds only work that is worth doing. Every refusal says when a
-further try makes sense. Nothing here does I/O or asks for the time.
+"""Decide whether a statement gets a slot at a target, waits or is refused.
+
+One `Admission` controls this holder's share of a target's slots. Statements
+that can't run yet wait in a bounded queue with fair queueing by caller: the
+n-th queued statement of a caller belongs to the n-th round, so a caller that
+floods the queue only delays itself. Within a round the earliest deadline goes
+first.
+
+A statement that would get its slot too late is refused immediately instead of
+at its deadline. Its caller can retry elsewhere or later, and the queue holds
+only statements that can finish in time. Every refusal carries a delay for the
+next try. This module does no I/O and does not read the clock.
 """
 
 from __future__ import annotations
@@ -27,30 +28,30 @@
     "SlotRefused",
     "SlotGranted",
     "Ticket",
-    "Verdict",
+    "SlotDecision",
     "SlotQueued",
 ]
 
-# How fast the estimate of a statement's time follows what is seen: about
-# this share of the gap for each statement.
-SMOOTHING = 0.1
-FIRST_ESTIMATE = 0.005
-SHORTEST = 1e-5
+# Weight of the newest duration in the moving average of statement durations.
+ESTIMATE_SMOOTHING = 0.1
+INITIAL_ESTIMATE = 0.005
+MIN_ESTIMATE = 1e-5
 MIN_RETRY_AFTER_MS = 10
 MAX_RETRY_AFTER_MS = 5000
-# What is let in may wait for this part of the time that it has left. The rest
-# is for running, and for estimates that were too low: a statement that times
-# out at the target has used a slot and a connection for nothing.
-WAIT_PART = 0.6
-# A statement is started only with this many times the usual time left.
+# Fraction of its remaining time that a statement may wait when it is admitted.
+# The rest is for its execution and for estimates that are too low: a statement
+# that times out at the target has wasted a slot and a connection.
+MAX_WAIT_FRACTION = 0.6
+# A statement starts only if its remaining time is at least this many times the
+# estimated duration.
 MIN_REMAINING_FACTOR = 1.5
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Ticket:
-    """A statement that asked for a slot. `item` is the adapter's own.
+    """A request for a slot. `item` is opaque and belongs to the pool.
 
-    A lower `urgency` goes before all of a higher one.
+    Tickets with a lower `urgency` are served before those with a higher one.
     """
 
     caller: str
@@ -65,38 +66,38 @@
 
     @property
     def key(self) -> tuple[int, int, float, int]:
-        """Return what the queue is ordered by."""
+        """Return the sort key of the queue."""
         return self.urgency, self.round, self.deadline, self.number
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotGranted:
-    """The slot is taken; `Admission.finished` gives it back."""
+    """The ticket holds a slot; `Admission.release` gives it back."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotQueued:
-    """It waits; `Admission.next` hands it out later."""
+    """The ticket is queued; `Admission.grant_next` grants it later."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotRefused:
-    """It gets no slot and was not run."""
+    """The ticket gets no slot, and its statement has not run."""
 
     ticket: Ticket
     outcome: Overloaded
 
 
-Verdict = SlotGranted | SlotQueued | SlotRefused
+SlotDecision = SlotGranted | SlotQueued | SlotRefused
 
 
 @dataclass(slots=True, kw_only=True)
-class _Use:
-    """What one caller has here."""
+class _CallerUsage:
+    """The running and queued statements of one caller, and its last round."""
 
     running: int = 0
     waiting: int = 0
@@ -105,128 +106,131 @@
 
 @dataclass(slots=True, kw_only=True)
 class Admission:
-    """The slots of one target that this holder may use, and their queue."""
+    """The slots that this holder may use at one target, and their queue."""
 
     slots: int
     queue_limit: int = 256
-    estimate: float = FIRST_ESTIMATE
+    estimate: float = INITIAL_ESTIMATE
     running: int = 0
     _queue: list[Ticket] = field(default_factory=list)
-    _uses: dict[str, _Use] = field(default_factory=dict)
+    _usages: dict[str, _CallerUsage] = field(default_factory=dict)
     _numbers: Any = field(default_factory=itertools.count)
-    _round: int = 0
+    _current_round: int = 0
 
     @property
     def waiting(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued tickets."""
         return len(self._queue)
 
-    def submit(self, ticket: Ticket, now: float) -> list[Verdict]:
-        """Ask for a slot; the list also tells whom this pushes out."""
+    def submit(self, ticket: Ticket, now: float) -> list[SlotDecision]:
+        """Ask for a slot; also return the refusals of evicted tickets."""
         if self.running < self.slots and not self._queue:
             return [self._start(ticket)]
-        self._place(ticket)
+        self._assign_round(ticket)
         refusal = self._refusal(ticket, now)
         if refusal is not None:
             return [refusal]
-        verdicts: list[Verdict] = []
+        decisions: list[SlotDecision] = []
         if len(self._queue) >= self.queue_limit:
-            verdicts.append(self._push_out(now))
-        self._enter(ticket)
-        verdicts.append(SlotQueued(ticket=ticket))
-        verdicts.extend(self._refuse_hopeless(now))
-        return verdicts
+            decisions.append(self._evict(now))
+        self._enqueue(ticket)
+        decisions.append(SlotQueued(ticket=ticket))
+        decisions.extend(self._refuse_hopeless(now))
+        return decisions
 
     def release(self, ticket: Ticket, seconds: float) -> None:
-        """Give a slot back after `seconds` of use."""
+        """Give back a slot that was held for `seconds`."""
         self.running -= 1
-        self.estimate += SMOOTHING * (seconds - self.estimate)
-        self._use(ticket.caller).running -= 1
-        self._tidy(ticket.caller)
+        self.estimate += ESTIMATE_SMOOTHING * (seconds - self.estimate)
+        self._usage_of(ticket.caller).running -= 1
+        self._forget_if_unused(ticket.caller)
 
-    def grant_next(self, now: float) -> list[Verdict]:
-        """Hand free slots to those who wait; refuse those too late."""
-        verdicts: list[Verdict] = []
+    def grant_next(self, now: float) -> list[SlotDecision]:
+        """Grant free slots to queued tickets; refuse those too late."""
+        decisions: list[SlotDecision] = []
         while self._queue and self.running < self.slots:
             ticket = self._queue.pop(0)
-            self._leave(ticket)
+            self._record_dequeued(ticket)
             if ticket.deadline < now + self.estimate * MIN_REMAINING_FACTOR:
-                verdicts.append(self._refuse(ticket, Reason.DEADLINE, now))
+                decisions.append(self._refuse(ticket, Reason.DEADLINE, now))
             else:
-                verdicts.append(self._start(ticket))
-        verdicts.extend(self._refuse_hopeless(now))
-        return verdicts
-
-    def expire(self, now: float) -> list[Verdict]:
-        """Refuse those who wait and whose deadline has come."""
-        late = [ticket for ticket in self._queue if ticket.deadline <= now]
-        for ticket in late:
+                decisions.append(self._start(ticket))
+        decisions.extend(self._refuse_hopeless(now))
+        return decisions
+
+    def expire(self, now: float) -> list[SlotDecision]:
+        """Refuse queued tickets whose deadline has passed."""
+        expired = [ticket for ticket in self._queue if ticket.deadline <= now]
+        for ticket in expired:
             self.cancel(ticket)
-        return [self._refuse(ticket, Reason.DEADLINE, now) for ticket in late]
+        return [
+            self._refuse(ticket, Reason.DEADLINE, now) for ticket in expired
+        ]
 
     def is_queued(self, ticket: Ticket) -> bool:
-        """Tell whether a ticket is in the queue."""
+        """Return whether a ticket is in the queue."""
         return ticket in self._queue
 
     def cancel(self, ticket: Ticket) -> None:
-        """Take back a ticket that waits."""
+        """Remove a queued ticket."""
         self._queue.remove(ticket)
-        self._leave(ticket)
+        self._record_dequeued(ticket)
 
     def wait_estimate(self, ahead: int) -> float:
-        """Return the seconds until a slot is free behind `ahead` others."""
+        """Return the estimated seconds of waiting behind `ahead` tickets."""
         if self.slots <= 0:
             return float("inf")
         return (ahead + 1) * self.estimate / self.slots
 
     def _refusal(self, ticket: Ticket, now: float) -> SlotRefused | None:
-        allowed = self._fair_queue(ticket, now)
-        if self._use(ticket.caller).waiting >= allowed:
+        allowed = self._max_queued(ticket, now)
+        if self._usage_of(ticket.caller).waiting >= allowed:
             refused = self._refuse(ticket, Reason.CALLER_LIMIT, now)
-        elif self._comes_too_late(ticket, now):
+        elif self._arrives_too_late(ticket, now):
             refused = self._refuse(ticket, Reason.QUEUE_FULL, now)
         else:
             return None
-        self._tidy(ticket.caller)
+        self._forget_if_unused(ticket.caller)
         return refused
 
-    def _fair_queue(self, ticket: Ticket, now: float) -> int:
-        """Return how many places of the queue a caller may have.
+    def _max_queued(self, ticket: Ticket, now: float) -> int:
+        """Return how many tickets a caller may have in the queue.
 
-        The queue is as long as can be worked off in time. A caller has an
-        equal part of it, and what others leave free but one place, so that a
-        newcomer can always enter. More would only be pushed back by the
-        others' statements until it came too late.
+        The usable length of the queue is what can run before the ticket's
+        deadline. A caller may use an equal part of it, and all places that
+        others leave free except one, so that a new caller can always enter.
+        Further tickets would be delayed by the statements of the other
+        callers until they are too late.
         """
-        wait = (ticket.deadline - now) * WAIT_PART
-        in_time = wait * self.slots / max(self.estimate, SHORTEST)
+        wait = (ticket.deadline - now) * MAX_WAIT_FRACTION
+        in_time = wait * self.slots / max(self.estimate, MIN_ESTIMATE)
         places = int(max(0.0, min(self.queue_limit, in_time)))
-        own = self._use(ticket.caller).waiting
+        own = self._usage_of(ticket.caller).waiting
         free = places - 1 - (len(self._queue) - own)
-        return max(1, places // len(self._uses), free)
+        return max(1, places // len(self._usages), free)
 
-    def _comes_too_late(self, ticket: Ticket, now: float) -> bool:
+    def _arrives_too_late(self, ticket: Ticket, now: float) -> bool:
         ahead = self._count_ahead(ticket)
-        return self._is_hopeless(ticket, ahead, now, WAIT_PART)
+        return self._is_too_late(ticket, ahead, now, MAX_WAIT_FRACTION)
 
-    def _is_hopeless(
-        self, ticket: Ticket, ahead: int, now: float, part: float
+    def _is_too_late(
+        self, ticket: Ticket, ahead: int, now: float, fraction: float
     ) -> bool:
-        left = ticket.deadline - now
+        remaining = ticket.deadline - now
         wait = self.wait_estimate(ahead)
-        return wait > left * part or wait + self.estimate > left
+        return wait > remaining * fraction or wait + self.estimate > remaining
 
-    def _refuse_hopeless(self, now: float) -> list[Verdict]:
-        """Refuse at once whom newcomers have pushed too far back."""
-        verdicts: list[Verdict] = []
+    def _refuse_hopeless(self, now: float) -> list[SlotDecision]:
+        """Refuse queued tickets that newer tickets have delayed too much."""
+        decisions: list[SlotDecision] = []
         while self._queue:
             last = self._queue[-1]
             ahead = len(self._queue) - 1
-            if not self._is_hopeless(last, ahead, now, 1.0):
+            if not self._is_too_late(last, ahead, now, 1.0):
                 break
             self.cancel(last)
-            verdicts.append(self._refuse(last, Reason.QUEUE_FULL, now))
-        return verdicts
+            decisions.append(self._refuse(last, Reason.QUEUE_FULL, now))
+        return decisions
 
     def _count_ahead(self, ticket: Ticket) -> int:
         low, high = 0, len(self._queue)
@@ -238,36 +242,38 @@
                 high = middle
         return low
 
-    def _push_out(self, now: float) -> SlotRefused:
-        """Make room: the caller that waits most gives up its last place."""
-        most = max(self._uses.values(), key=lambda use: use.waiting).waiting
+    def _evict(self, now: float) -> SlotRefused:
+        """Evict the last ticket of the caller with the longest queue."""
+        max_waiting = max(
+            self._usages.values(), key=lambda usage: usage.waiting
+        ).waiting
         for ticket in reversed(self._queue):
-            if self._uses[ticket.caller].waiting == most:
+            if self._usages[ticket.caller].waiting == max_waiting:
                 self.cancel(ticket)
                 return self._refuse(ticket, Reason.CALLER_LIMIT, now)
-        raise AssertionError("the queue is full and nobody waits in it")
+        raise AssertionError("the queue is full but no caller has a ticket")
 
-    def _place(self, ticket: Ticket) -> None:
-        use = self._use(ticket.caller)
+    def _assign_round(self, ticket: Ticket) -> None:
+        usage = self._usage_of(ticket.caller)
         ticket.number = next(self._numbers)
-        ticket.round = max(self._round, use.round + 1)
+        ticket.round = max(self._current_round, usage.round + 1)
 
-    def _enter(self, ticket: Ticket) -> None:
-        use = self._use(ticket.caller)
-        use.waiting += 1
-        use.round = ticket.round
+    def _enqueue(self, ticket: Ticket) -> None:
+        usage = self._usage_of(ticket.caller)
+        usage.waiting += 1
+        usage.round = ticket.round
         insort(self._queue, ticket)
 
-    def _leave(self, ticket: Ticket) -> None:
-        self._use(ticket.caller).waiting -= 1
-        self._tidy(ticket.caller)
+    def _record_dequeued(self, ticket: Ticket) -> None:
+        self._usage_of(ticket.caller).waiting -= 1
+        self._forget_if_unused(ticket.caller)
 
     def _start(self, ticket: Ticket) -> SlotGranted:
         self.running += 1
-        use = self._use(ticket.caller)
-        use.running += 1
-        self._round = max(self._round, ticket.round)
-        use.round = max(use.round, self._round)
+        usage = self._usage_of(ticket.caller)
+        usage.running += 1
+        self._current_round = max(self._current_round, ticket.round)
+        usage.round = max(usage.round, self._current_round)
         return SlotGranted(ticket=ticket)
 
     def _refuse(
@@ -283,15 +289,15 @@
             ),
         )
 
-    def _use(self, caller: str) -> _Use:
-        found = self._uses.get(caller)
+    def _usage_of(self, caller: str) -> _CallerUsage:
+        found = self._usages.get(caller)
         if found is None:
-            found = self._uses[caller] = _Use()
+            found = self._usages[caller] = _CallerUsage()
         return found
 
-    def _tidy(self, caller: str) -> None:
-        # A caller without work is forgotten, so that memory follows those
-        # who are active. Its round is, too: it comes back in today's.
-        use = self._uses.get(caller)
-        if use is not None and use.running == 0 and use.waiting == 0:
-            del self._uses[caller]
+    def _forget_if_unused(self, caller: str) -> None:
+        # Dropping callers without statements bounds the memory. Their round
+        # is dropped too: a returning caller starts at the current round.
+        usage = self._usages.get(caller)
+        if usage is not None and usage.running == 0 and usage.waiting == 0:
+            del self._usages[caller]
--- a/bamboospring/breaker.py
+++ b/bamboospring/breaker.py
@@ -1,13 +1,13 @@
-"""Whether a target is tried at all, and how much it gets after a gap.
+"""A circuit breaker with slow start for each target.
 
-This judges targets, not connections. One connection may be dead while the
-target is well: only a failure to open a new one counts here. While the
-circuit is open new work is refused at once; after a pause that doubles with
-each failure one single trial goes through. A target that comes back, or has
-just become primary, starts with a part of its slots: its caches are cold, and
-all the work that waited meanwhile would fall on it in one moment.
+The breaker is about targets, not connections. A connection can be dead while
+its target is healthy, so only a failure to open a new connection counts.
+While the circuit is open, new work is refused immediately. After a delay that
+doubles with each failure, one trial opening is allowed. A target that
+recovers, or that has just become primary, starts with a fraction of its
+slots: its caches are cold, and all waiting statements would reach it at once.
 
-Nothing here does I/O, asks for the time or draws random numbers.
+This module does no I/O and uses neither the clock nor random numbers.
 """
 
 from __future__ import annotations
@@ -31,30 +31,34 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BreakerTiming:
-    """Times in seconds; `failures` in a row open the circuit."""
+    """Durations in seconds, and when the circuit opens.
 
-    failures: int = 2
-    first_pause: float = 0.1
+    `failure_threshold` consecutive failures open the circuit.
+    `slow_start_fraction` is the part of the slots at the start.
+    """
+
+    failure_threshold: int = 2
+    min_open_duration: float = 0.1
     max_open_duration: float = 2.0
-    slow_start: float = 1.0
-    first_part: float = 0.34
+    slow_start_duration: float = 1.0
+    slow_start_fraction: float = 0.34
 
 
 @dataclass(slots=True, kw_only=True)
 class Breaker:
-    """The circuit of one target."""
+    """The circuit breaker of one target."""
 
     timing: BreakerTiming = BreakerTiming()
     circuit: Circuit = Circuit.CLOSED
     failures: int = 0
     retry_at: float = NEVER
-    _started_at: float = NEVER
+    _slow_start_at: float = NEVER
 
-    def may_try(self, now: float) -> bool:
-        """Tell whether it makes sense to wait for a new connection.
+    def should_wait_for_open(self, now: float) -> bool:
+        """Return whether a statement should wait for a new connection.
 
-        While a trial is under way nobody joins it: a trial hangs for its
-        whole timeout if the target is still out of reach.
+        No statement waits for a trial that is in flight, because the trial
+        takes its whole timeout if the target is still unreachable.
         """
         match self.circuit:
             case Circuit.CLOSED:
@@ -64,10 +68,10 @@
             case Circuit.HALF_OPEN:
                 return False
 
-    def may_open(self, now: float) -> bool:
-        """Tell whether a new connection may be tried now.
+    def allow_open(self, now: float) -> bool:
+        """Return whether a new connection may be opened now.
 
-        In an open circuit whose pause is over this takes the one trial.
+        In an open circuit whose delay has passed, this uses up the one trial.
         """
         match self.circuit:
             case Circuit.CLOSED:
@@ -78,42 +82,42 @@
             case _:
                 return False
 
-    def answered(self, now: float) -> None:
-        """Note that the target has answered an opening.
+    def record_success(self, now: float) -> None:
+        """Record that the target has answered an opening.
 
-        It may have allowed the connection, or have said that it has no place
-        for one. A trial that ends so and is not noted would be the last: no
-        other is let through while one is under way.
+        The target may have accepted the connection or refused it because of
+        its limit. Both must be recorded: without it a trial counts as in
+        flight forever, and no other trial is allowed.
         """
         if self.circuit is not Circuit.CLOSED:
-            self.start_slowly(now)
+            self.begin_slow_start(now)
         self.circuit = Circuit.CLOSED
         self.failures = 0
 
-    def failed(self, now: float, *, draw: float) -> None:
-        """Note that none could be opened; `draw` is from 0 up to 1.
+    def record_failure(self, now: float, *, draw: float) -> None:
+        """Record a failed opening; `draw` is random in [0, 1).
 
-        The draw spreads the trials of several holders over half the pause.
+        The draw spreads the trials of several holders over half the delay.
         """
         self.failures += 1
-        if self.failures < self.timing.failures:
+        if self.failures < self.timing.failure_threshold:
             return
-        doublings = min(self.failures - self.timing.failures, 16)
-        pause = min(
+        doublings = min(self.failures - self.timing.failure_threshold, 16)
+        open_duration = min(
             self.timing.max_open_duration,
-            self.timing.first_pause * 2**doublings,
+            self.timing.min_open_duration * 2**doublings,
         )
         self.circuit = Circuit.OPEN
-        self.retry_at = now + pause * (1 + draw / 2)
+        self.retry_at = now + open_duration * (1 + draw / 2)
 
-    def start_slowly(self, now: float) -> None:
-        """Begin with a part of the slots, as for a new primary."""
-        self._started_at = now
+    def begin_slow_start(self, now: float) -> None:
+        """Start with a fraction of the slots, as for a new primary."""
+        self._slow_start_at = now
 
-    def slots(self, share: int, now: float) -> int:
-        """Return how many of the slots may be used now, at least one."""
-        age = (now - self._started_at) / self.timing.slow_start
+    def allowed_slots(self, share: int, now: float) -> int:
+        """Return how many slots of a share may be used, at least one."""
+        age = (now - self._slow_start_at) / self.timing.slow_start_duration
         if age >= 1 or share <= 1:
             return share
-        first = self.timing.first_part
+        first = self.timing.slow_start_fraction
         return max(1, math.ceil(share * (first + (1 - first) * age)))
--- a/bamboospring/commit.py
+++ b/bamboospring/commit.py
@@ -1,9 +1,9 @@
-"""When a write may be acknowledged: a majority holds it at its term.
+"""Decide when a write may be acknowledged: a majority holds it at its term.
 
-A primary that was cut off still commits on its own. Passing its answer on
-would acknowledge a write that the next primary does not have. A new term
-first stops a majority of the targets, so an entry held by a majority at the
-term that wrote it is in the log of every later primary.
+An isolated primary still commits on its own. Passing on its answer would
+acknowledge a write that the next primary does not have. A new term first
+fences a majority of the targets, so an entry held by a majority at the term
+that wrote it is in the log of every later primary.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 def majority_size(count: int) -> int:
-    """Return how many of `count` targets make a majority."""
+    """Return the size of a majority of `count` targets."""
     return count // 2 + 1
 
 
 def majorities_overlap(one: Collection[str], two: Collection[str]) -> bool:
-    """Tell whether any majority of one set shares a target with any of two.
+    """Return whether every majority of `one` overlaps every one of `two`.
 
-    Where it does not, a write held by a majority of the old targets may be at
-    none of the new ones that a change of primary stops.
+    If not, a write held by a majority of the old targets may be missing on
+    all of the new targets that a change of primary fences.
     """
     common = len(set(one) & set(two))
     from_one = majority_size(len(one)) - (len(one) - common)
@@ -41,17 +41,17 @@
 
 
 def count_holding(group: Group, position: Position) -> int:
-    """Count the targets known to hold a position of its own term."""
+    """Count the targets known to hold a position, at its term."""
     return len(targets_holding(group, position))
 
 
 def targets_holding(group: Group, position: Position) -> list[str]:
-    """Return the targets known to hold a position of its own term, by name.
+    """Return the names of the targets known to hold a position.
 
-    A target that reports another term does not count, whatever its index:
-    its log may differ at that index. Nor does one that has joined the term
-    but holds no entry of it yet: it has not compared its log with the
-    primary's, and what it has at that index may be about to be dropped.
+    A target that reports another term does not count, whatever its index,
+    because its log may differ at that index. A target that has joined the
+    term but holds no entry of it does not count either: it has not compared
+    its log with the primary's and may drop its entry at that index.
     """
     roles = (Role.PRIMARY, Role.REPLICA)
     return [
@@ -65,7 +65,7 @@
 
 
 def held_by_majority(group: Group, position: Position) -> bool:
-    """Tell whether a majority of the group's targets holds a position."""
+    """Return whether a majority of the group's targets holds a position."""
     if group.record.majority_overlap_lost:
         return False
     needed = majority_size(len(group.record.targets))
--- a/bamboospring/entry.py
+++ b/bamboospring/entry.py
@@ -1,7 +1,7 @@
-"""The entry: takes callers' requests and gives them their answers.
+"""The entry: accept the requests of callers and return the answers.
 
-See docs/CALLERS.md for the interface. All of a request's faults are found
-here, before anything is sent on.
+See docs/CALLERS.md for the interface. A request is validated completely
+here, before anything is forwarded.
 """
 
 from __future__ import annotations
@@ -46,9 +46,9 @@
 __all__ = ["Entry"]
 
 NOT_FOUND = 404
-NOT_ALLOWED = 405
+METHOD_NOT_ALLOWED = 405
 
-STEPS = {
+STEP_KINDS = {
     "begin": StepKind.BEGIN,
     "statement": StepKind.STATEMENT,
     "commit": StepKind.COMMIT,
@@ -56,7 +56,8 @@
 }
 
 Respond = Callable[[Response], None]
-# Gets what was answered after how many seconds, and the time of the answer.
+# Called with the statement, its outcome, the duration in seconds and the time
+# of the answer.
 OnAnswered = Callable[[Statement, Outcome, float, float], None]
 
 
@@ -116,7 +117,9 @@
             respond(bad_request("no such path", status=NOT_FOUND))
             return
         if req.method != "POST":
-            respond(bad_request("only POST", status=NOT_ALLOWED))
+            respond(
+                bad_request("only POST is allowed", status=METHOD_NOT_ALLOWED)
+            )
             return
         try:
             route(req.body, respond)
@@ -146,7 +149,7 @@
             respond,
             write=req.kind == "write",
             sql=req.sql or "",
-            step=STEPS[req.step],
+            step=STEP_KINDS[req.step],
             transaction=req.transaction or "",
         )
 
@@ -154,45 +157,45 @@
         self,
         req: StatementRequest | TransactionRequest,
         respond: Respond,
-        **more: Any,
+        **fields: Any,
     ) -> None:
         session = self._codec.decode(req.token)
         if isinstance(session, InvalidToken):
             respond(bad_request(session.message, Reason.BAD_TOKEN))
             return
-        begun_at = self._reactor.now()
+        started_at = self._reactor.now()
         stmt = Statement(
             group=req.group,
             caller=session.caller,
             params=orjson.dumps(req.params),
             key=req.key or "",
-            deadline=begun_at + req.deadline_ms / 1000,
+            deadline=started_at + req.deadline_ms / 1000,
             token=session.position(req.group),
             trace=f"{self._board.local_vm.name}-{next(self._traces)}",
-            **more,
+            **fields,
         )
-        if stmt.write and not session.has_room(req.group):
+        if stmt.write and not session.can_record(req.group):
             respond(bad_request("the session writes to too many groups"))
             return
 
-        def done(outcome: Outcome) -> None:
+        def on_complete(outcome: Outcome) -> None:
             now = self._reactor.now()
-            self._on_answered(stmt, outcome, now - begun_at, now)
+            self._on_answered(stmt, outcome, now - started_at, now)
             log_outcome("answered", stmt, outcome)
             respond(self._respond(session, stmt, outcome))
 
-        self._forwarder.forward(stmt, done)
+        self._forwarder.forward(stmt, on_complete)
 
     def _respond(
         self, session: SessionPositions, stmt: Statement, outcome: Outcome
     ) -> Response:
-        if isinstance(outcome, Done) and _wrote(stmt):
+        if isinstance(outcome, Done) and _has_written(stmt):
             position = Position(term=outcome.term, index=outcome.index)
-            session = session.moved(stmt.group, position)
+            session = session.advanced(stmt.group, position)
         return encode_outcome(stmt.group, outcome, self._codec.encode(session))
 
 
-def _wrote(stmt: Statement) -> bool:
+def _has_written(stmt: Statement) -> bool:
     if stmt.step is StepKind.AUTOCOMMIT:
         return stmt.write
     return stmt.step is StepKind.COMMIT
--- a/bamboospring/exchange.py
+++ b/bamboospring/exchange.py
@@ -1,4 +1,4 @@
-"""One statement's exchange with a target, over a leased connection."""
+"""Send one statement to a target over a leased connection."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 ]
 
 RETRY_SOON_MS = 100
-# In bytes of a target's answer. A frame between VMs has a limit too, and one
-# that is over it ends the link with all that is under way on it.
-MAX_RESULT = 2 * 1024 * 1024
-# Seconds.
-ANSWER_MARGIN = 0.1
+# Limits the answer of a target. Frames between VMs are limited too; a larger
+# one would close the link with all statements in flight on it.
+MAX_RESULT_BYTES = 2 * 1024 * 1024
+ANSWER_MARGIN_SECONDS = 0.1
 
 OnTargetAnswer = Callable[[TargetAnswer | HttpLost], None]
 
-# What a target's refusal means to the caller. In each case nothing ran.
+# The reason for the caller by the reason of a target's refusal. In each case
+# nothing ran.
 REFUSALS: dict[str, Reason] = {
     "term": Reason.PRIMARY_CHANGED,
     "behind": Reason.STALE,
@@ -55,11 +55,11 @@
 
 
 class Exchange:
-    """Sends statements and matches the answers by correlation id."""
+    """Send statements and match the answers by request id."""
 
     def __init__(self, *, reactor: Reactor) -> None:
         self._reactor = reactor
-        self._numbers = itertools.count(1)
+        self._request_ids = itertools.count(1)
 
     def send(
         self,
@@ -71,41 +71,46 @@
         timeout: float,
         on_answer: OnTargetAnswer,
     ) -> None:
-        """Send a statement; calls back once, with the answer or its loss.
+        """Send a statement and call back once, with the answer or its loss.
 
-        The connection is closed already when a loss is reported: a late
-        answer can't be taken for that of a later statement.
+        When a loss is reported, the connection has already been closed, so
+        that a late answer can't be taken for that of a later statement.
         """
         if timeout <= 0:
             on_answer(HttpLost(sent=False, reason="deadline"))
             return
-        number = next(self._numbers)
-        # The target gives up its wait for a lock a little before we do, so
-        # that its "nothing ran" arrives; else the caller is told "unknown".
-        left = timeout - min(ANSWER_MARGIN, timeout / 4)
+        request_id = next(self._request_ids)
+        # The target stops waiting for a lock slightly before this process
+        # stops waiting for its answer. So its "nothing ran" still arrives;
+        # otherwise the caller would get an unknown outcome.
+        remaining = timeout - min(ANSWER_MARGIN_SECONDS, timeout / 4)
         body = encode_execute(
-            stmt, number=number, term=term, min_index=min_index, left=left
+            stmt,
+            request_id=request_id,
+            term=term,
+            min_index=min_index,
+            remaining=remaining,
         )
 
-        def answered(answer: HttpAnswer | HttpLost) -> None:
+        def handle_answer(answer: HttpAnswer | HttpLost) -> None:
             if isinstance(answer, HttpLost):
                 leased.unresponsive = answer.reason == "timeout"
                 leased.conn.close()
                 on_answer(answer)
                 return
             decoded = decode_answer(answer.body)
-            # An answer with another id belongs to another exchange. Which
-            # one can't be told, so it counts as none at all.
-            if decoded is None or decoded.id != number:
+            # An answer with another id belongs to another request, and it is
+            # not known to which. It counts as a lost answer.
+            if decoded is None or decoded.id != request_id:
                 leased.conn.close()
                 on_answer(HttpLost(sent=True, reason="crossed"))
                 return
-            if len(answer.body) > MAX_RESULT:
+            if len(answer.body) > MAX_RESULT_BYTES:
                 _refuse_result(stmt, leased, decoded, on_answer)
                 return
             on_answer(decoded)
 
-        leased.conn.request("POST", "/execute", body, timeout, answered)
+        leased.conn.request("POST", "/execute", body, timeout, handle_answer)
 
 
 def _refuse_result(
@@ -114,23 +119,24 @@
     answer: TargetAnswer,
     on_answer: OnTargetAnswer,
 ) -> None:
-    """Report a result that is too large to be passed on whole.
+    """Report a result that is too large to be passed on.
 
-    A lone read has failed. What else ran is reported as lost: a transaction
-    is rolled back with its connection, a write is unknown to its caller.
+    A read outside a transaction fails. For any other statement the answer is
+    reported as lost: a transaction is rolled back with its connection, and
+    the outcome of a write is unknown.
     """
     if stmt.write or stmt.step is not StepKind.AUTOCOMMIT:
         leased.conn.close()
         on_answer(HttpLost(sent=True, reason="size"))
         return
-    message = f"the result is too large: over {MAX_RESULT} bytes"
+    message = f"the result is too large: over {MAX_RESULT_BYTES} bytes"
     on_answer(replace(answer, outcome="failed", message=message, rows=[]))
 
 
 def done_from(
     answer: TargetAnswer, *, at_replica: bool = False, transaction: str = ""
 ) -> Done:
-    """Return a target's good answer as an outcome."""
+    """Return a target's successful answer as an outcome."""
     return Done(
         term=answer.term,
         index=answer.index,
@@ -145,7 +151,7 @@
 
 
 def failed_from(answer: TargetAnswer) -> Failed:
-    """Return a target's failure as an outcome; it ran and was undone."""
+    """Return a target's failure as an outcome; it was rolled back."""
     return Failed(reason=Reason.SQL, message=answer.message)
 
 
@@ -155,7 +161,10 @@
     if answer.reason == "slots":
         return Overloaded(reason=reason, retry_after_ms=RETRY_SOON_MS)
     if answer.reason == "key_reused":
-        return NotRun(reason=reason, message="other statements had this key")
+        return NotRun(
+            reason=reason,
+            message="the key was already used for another statement",
+        )
     return NotRun(
         reason=reason, retry_after_ms=RETRY_SOON_MS, message=answer.message
     )
--- a/bamboospring/forwarding.py
+++ b/bamboospring/forwarding.py
@@ -1,7 +1,7 @@
-"""Take a statement from the entry to a holder of its group.
+"""Forward a statement from the entry to a holder of its group.
 
-An entry only picks a holder. It tries another one where the first surely ran
-nothing, and for reads also where the answer was lost.
+An entry only picks a holder. It tries another one if the first is known to
+have run nothing, and for reads also if the answer was lost.
 """
 
 from __future__ import annotations
@@ -38,20 +38,21 @@
 __all__ = ["Forwarder", "LocalHolder", "OnOutcome", "order_holders"]
 
 RETRY_SOON_MS = 100
-# The holder's own final answer comes at the deadline; the entry gives it this
-# much longer, in seconds, to arrive.
+# Seconds that the entry waits beyond the deadline. The holder sends its final
+# answer at the deadline.
 ANSWER_GRACE = 0.2
 MAX_TRIES = 3
-# With fewer slots than holders some holder has none at the primary, and a new
-# holder has none at first. Who said so is asked last for this long.
-SHARELESS_SECONDS = 2.0
-# Holders that have just started, or lost one of them, have their shares within
-# a few exchanges with each other. A statement is asked for again this many
-# times, at this interval in seconds, before it is refused.
-SHARE_WAITS = 5
-SHARE_WAIT = 0.1
-# Said by a holder that took nothing on. Another one may.
-ELSEWHERE = frozenset(
+# Seconds for which a holder that reported no share is asked last. With fewer
+# slots than holders some holder has none at the primary, and a new holder has
+# none at first.
+WITHOUT_SHARE_PERIOD = 2.0
+# How often, and at which interval in seconds, a statement is tried again if no
+# holder has a share, before it is refused. Holders that have just started, or
+# that have lost one of them, get their shares after a few messages.
+MAX_SHARE_WAITS = 5
+SHARE_WAIT_INTERVAL = 0.1
+# Reasons of a holder that has not accepted the statement; another one may.
+TRY_ELSEWHERE_REASONS = frozenset(
     {
         Reason.DRAINING,
         Reason.NOT_HOLDER,
@@ -63,45 +64,46 @@
 
 
 class LocalHolder(Protocol):
-    """Runs what this very process is asked to run as a holder."""
+    """Runs statements for which this process itself is the holder."""
 
-    def run(self, stmt: Statement, done: OnOutcome) -> None:
+    def run(self, stmt: Statement, on_complete: OnOutcome) -> None:
         """Run a statement and call back once."""
 
 
 def order_holders(
     holders: tuple[Vm, ...],
     *,
-    me: str,
-    doubted: frozenset[str],
-    turn: int,
-    outstanding: Mapping[str, int],
+    local_vm: str,
+    avoided: frozenset[str],
+    rotation: int,
+    in_flight: Mapping[str, int],
 ) -> list[Vm]:
-    """Return the holders in the order in which to ask them.
-
-    The one that owes this VM the fewest answers first, because each holder
-    has only its part of the targets' slots and a queue of its own: one queue
-    fills while another's slots are free, and callers are refused for it.
-    Of equals this VM first if it is one, since that saves the way; the
-    others take turns. Leaving and doubted ones come last, not never: the
-    list may be old and the doubt wrong.
+    """Return the holders in the order in which to try them.
+
+    The holder with the fewest statements of this VM in flight comes first.
+    Each holder has only its share of the targets' slots and its own queue;
+    otherwise one queue would fill and callers would be refused while another
+    holder has free slots. Among equals, this VM comes first if it is a
+    holder, which saves a network round trip, and the others take turns.
+    Holders that are leaving or to be avoided come last, but are not excluded,
+    because the list may be outdated and the suspicion wrong.
     """
     if not holders:
         return []
-    first = turn % len(holders)
-    turned = [*holders[first:], *holders[:first]]
-    # Of those of equal rank the order is kept: False comes first.
-    turned.sort(key=lambda vm: vm.name != me)
-    if outstanding:
-        turned.sort(key=lambda vm: outstanding.get(vm.name, 0))
-    turned.sort(key=lambda vm: vm.liveness is not Liveness.LIVE)
-    if doubted:
-        turned.sort(key=lambda vm: vm.name in doubted)
-    return turned
+    first = rotation % len(holders)
+    ordered = [*holders[first:], *holders[:first]]
+    # Sorting is stable, and False sorts before True.
+    ordered.sort(key=lambda vm: vm.name != local_vm)
+    if in_flight:
+        ordered.sort(key=lambda vm: in_flight.get(vm.name, 0))
+    ordered.sort(key=lambda vm: vm.liveness is not Liveness.LIVE)
+    if avoided:
+        ordered.sort(key=lambda vm: vm.name in avoided)
+    return ordered
 
 
 class Forwarder:
-    """Forwards statements and tells what became of them."""
+    """Forward statements and pass their outcomes on."""
 
     def __init__(
         self,
@@ -123,179 +125,205 @@
         self._codec = codec
         self._membership = membership
         self._budget = budget
-        self._turn = itertools.count()
-        self._shareless: dict[tuple[str, bool], dict[str, float]] = {}
-        self._outstanding: dict[str, Counter[str]] = {}
+        self._rotation = itertools.count()
+        self._without_share_until: dict[tuple[str, bool], dict[str, float]] = (
+            {}
+        )
+        self._in_flight: dict[str, Counter[str]] = {}
 
-    def forward(self, stmt: Statement, done: OnOutcome) -> None:
-        """Have a statement run and call back once."""
+    def forward(self, stmt: Statement, on_complete: OnOutcome) -> None:
+        """Have a holder run a statement and call back once."""
         if stmt.step in (
             StepKind.STATEMENT,
             StepKind.COMMIT,
             StepKind.ROLLBACK,
         ):
-            self._forward_step(stmt, done)
+            self._forward_step(stmt, on_complete)
             return
         if not self._board.knows_group(stmt.group):
-            done(self._no_such_group())
+            on_complete(self._refuse_unknown_group())
             return
         self._budget.record_first_attempt()
         now = self._reactor.now()
         holders = self._placement.holders(stmt.group)
-        doubted = self._membership.vms_to_avoid(holders, now)
-        order = order_holders(
+        avoided = self._membership.vms_to_avoid(holders, now)
+        ordered = order_holders(
             holders,
-            me=self._board.local_vm.name,
-            doubted=doubted | self._without_share(stmt, now),
-            turn=next(self._turn),
-            outstanding=self._outstanding.get(stmt.group, {}),
+            local_vm=self._board.local_vm.name,
+            avoided=avoided | self._vms_without_share(stmt, now),
+            rotation=next(self._rotation),
+            in_flight=self._in_flight.get(stmt.group, {}),
         )
-        self._try(stmt, order[:MAX_TRIES], done)
+        self._try(stmt, ordered[:MAX_TRIES], on_complete)
 
-    def _no_such_group(self) -> Outcome:
-        """Refuse a group that is not known.
+    def _refuse_unknown_group(self) -> Outcome:
+        """Refuse a statement of an unknown group.
 
-        An entry that has just started does not know all groups. Told that
-        there is no such group, a caller would give up for good.
+        An entry that has just started does not know all groups yet. If it
+        answered `unknown_group`, the caller would not try again.
         """
         if self._board.names_complete:
             return NotRun(reason=Reason.UNKNOWN_GROUP)
-        return _no_holder()
+        return _no_holder_outcome()
 
     def _count(self, group: str, vm: str, change: int) -> None:
-        """Count an answer that a holder owes, or has given."""
-        counts = self._outstanding.setdefault(group, Counter())
+        """Count the statements in flight at a holder."""
+        counts = self._in_flight.setdefault(group, Counter())
         counts[vm] += change
         if counts[vm] <= 0:
             del counts[vm]
         if not counts:
-            del self._outstanding[group]
+            del self._in_flight[group]
 
-    # New work: any holder will do.
+    # Statements that any holder can run.
 
     def _try(
         self,
         stmt: Statement,
         holders: list[Vm],
-        done: OnOutcome,
+        on_complete: OnOutcome,
         waits: int = 0,
     ) -> None:
         if not holders:
-            done(_no_holder())
+            on_complete(_no_holder_outcome())
             return
         first, *others = holders
 
-        def answered(answer: Outcome | PeerLost) -> None:
+        def on_answer(answer: Outcome | PeerLost) -> None:
             self._count(stmt.group, first.name, -1)
             if isinstance(answer, PeerLost):
                 self._membership.record_failure(
                     first.name, self._reactor.now()
                 )
-                outcome = _lost(stmt, answer)
-                again = not answer.sent or _harmless(stmt)
+                outcome = _lost_outcome(stmt, answer)
+                may_repeat = not answer.sent or _is_safe_to_repeat(stmt)
             else:
                 outcome = answer
-                self._note(first, answer)
-                self._note_share(stmt, first, answer)
-                again = (
-                    isinstance(answer, NotRun) and answer.reason in ELSEWHERE
+                self._record_answer(first, answer)
+                self._record_share(stmt, first, answer)
+                may_repeat = (
+                    isinstance(answer, NotRun)
+                    and answer.reason in TRY_ELSEWHERE_REASONS
                 )
-            left = stmt.deadline - self._reactor.now()
-            if not again or left <= 0 or not self._may_go_on(outcome):
-                done(outcome)
+            remaining = stmt.deadline - self._reactor.now()
+            if (
+                not may_repeat
+                or remaining <= 0
+                or not self._can_try_next(outcome)
+            ):
+                on_complete(outcome)
             elif others:
-                self._try(stmt, others, done, waits)
+                self._try(stmt, others, on_complete, waits)
             else:
-                self._settle(stmt, outcome, done, waits)
+                self._after_all_tried(stmt, outcome, on_complete, waits)
 
         self._count(stmt.group, first.name, 1)
-        self._ask(first, stmt, answered)
+        self._send(first, stmt, on_answer)
 
-    def _settle(
-        self, stmt: Statement, outcome: Outcome, done: OnOutcome, waits: int
+    def _after_all_tried(
+        self,
+        stmt: Statement,
+        outcome: Outcome,
+        on_complete: OnOutcome,
+        waits: int,
     ) -> None:
-        """Go on after all holders have said that it is not for them."""
+        """Continue after no holder has accepted the statement."""
         if not isinstance(outcome, NotRun):
-            done(outcome)
-        elif _to_primary(stmt, outcome):
-            # No holder has a replica for this read.
-            self._try_all(dataclasses.replace(stmt, settle=True), done, waits)
-        elif waits < SHARE_WAITS and self._may_get_share(stmt):
-            # Without this a caller whose holder dies in the first second of
-            # a fleet is refused though the others are about to have their
-            # shares. It is bounded, and nothing has run.
+            on_complete(outcome)
+        elif _should_allow_primary(stmt, outcome):
+            # No holder has a share of a replica for this read.
+            self._try_all(
+                dataclasses.replace(stmt, allow_primary=True),
+                on_complete,
+                waits,
+            )
+        elif waits < MAX_SHARE_WAITS and self._can_wait_for_share(stmt):
+            # Without this, a caller whose holder dies in the first second of
+            # a fleet is refused although the others are about to get their
+            # shares. The number of waits is limited, and nothing has run.
             self._reactor.call_later(
-                SHARE_WAIT, lambda: self._try_again(stmt, outcome, done, waits)
+                SHARE_WAIT_INTERVAL,
+                lambda: self._try_again(stmt, outcome, on_complete, waits),
             )
         else:
-            done(outcome)
+            on_complete(outcome)
 
-    def _may_get_share(self, stmt: Statement) -> bool:
+    def _can_wait_for_share(self, stmt: Statement) -> bool:
         now = self._reactor.now()
         return (
-            stmt.deadline - now > SHARE_WAIT
-            and bool(self._without_share(stmt, now))
+            stmt.deadline - now > SHARE_WAIT_INTERVAL
+            and bool(self._vms_without_share(stmt, now))
             and self._budget.spend_retry()
         )
 
     def _try_again(
-        self, stmt: Statement, outcome: Outcome, done: OnOutcome, waits: int
+        self,
+        stmt: Statement,
+        outcome: Outcome,
+        on_complete: OnOutcome,
+        waits: int,
     ) -> None:
         if stmt.deadline <= self._reactor.now():
-            done(outcome)
+            on_complete(outcome)
             return
-        self._try_all(stmt, done, waits + 1)
+        self._try_all(stmt, on_complete, waits + 1)
 
-    def _try_all(self, stmt: Statement, done: OnOutcome, waits: int) -> None:
+    def _try_all(
+        self, stmt: Statement, on_complete: OnOutcome, waits: int
+    ) -> None:
         holders = self._placement.holders(stmt.group)
-        self._try(stmt, list(holders[:MAX_TRIES]), done, waits)
+        self._try(stmt, list(holders[:MAX_TRIES]), on_complete, waits)
 
-    def _may_go_on(self, outcome: Outcome) -> bool:
-        # Where nothing ran another try multiplies no work.
+    def _can_try_next(self, outcome: Outcome) -> bool:
+        # If nothing ran, another try does not multiply the load.
         return isinstance(outcome, NotRun) or self._budget.spend_retry()
 
-    def _note_share(self, stmt: Statement, vm: Vm, outcome: Outcome) -> None:
+    def _record_share(self, stmt: Statement, vm: Vm, outcome: Outcome) -> None:
         if isinstance(outcome, NotRun):
             if outcome.reason is Reason.NOT_HOLDER:
-                known = self._shareless.setdefault(
+                known = self._without_share_until.setdefault(
                     (stmt.group, stmt.write), {}
                 )
-                known[vm.name] = self._reactor.now() + SHARELESS_SECONDS
+                known[vm.name] = self._reactor.now() + WITHOUT_SHARE_PERIOD
 
-    def _without_share(self, stmt: Statement, now: float) -> frozenset[str]:
-        """Return the VMs that lately had no share of what is needed."""
+    def _vms_without_share(
+        self, stmt: Statement, now: float
+    ) -> frozenset[str]:
+        """Return the VMs that recently had no share for such statements."""
         key = stmt.group, stmt.write
-        known = self._shareless.get(key)
+        known = self._without_share_until.get(key)
         if not known:
             return frozenset()
-        left = {vm: until for vm, until in known.items() if until > now}
-        if left:
-            self._shareless[key] = left
+        current = {vm: until for vm, until in known.items() if until > now}
+        if current:
+            self._without_share_until[key] = current
         else:
-            del self._shareless[key]
-        return frozenset(left)
+            del self._without_share_until[key]
+        return frozenset(current)
 
-    # A step of a transaction: only the one that has it.
+    # Steps of a transaction, which only its holder can run.
 
-    def _forward_step(self, stmt: Statement, done: OnOutcome) -> None:
+    def _forward_step(self, stmt: Statement, on_complete: OnOutcome) -> None:
         handle = self._codec.decode_transaction(stmt.transaction)
         if isinstance(handle, InvalidToken):
-            done(NotRun(reason=Reason.NO_TRANSACTION, message=handle.message))
+            on_complete(
+                NotRun(reason=Reason.NO_TRANSACTION, message=handle.message)
+            )
             return
         vm = self._board.vms.get(handle.vm)
         if vm is None:
-            done(_lost(stmt, PeerLost(sent=False)))
+            on_complete(_lost_outcome(stmt, PeerLost(sent=False)))
             return
 
-        def answered(answer: Outcome | PeerLost) -> None:
+        def handle_answer(answer: Outcome | PeerLost) -> None:
             if isinstance(answer, PeerLost):
-                done(_lost(stmt, answer))
+                on_complete(_lost_outcome(stmt, answer))
             else:
-                done(answer)
+                on_complete(answer)
 
-        self._ask(vm, stmt, answered)
+        self._send(vm, stmt, handle_answer)
 
-    def _ask(
+    def _send(
         self,
         vm: Vm,
         stmt: Statement,
@@ -306,62 +334,62 @@
             return
         now = self._reactor.now()
 
-        def answered(answer: Any) -> None:
+        def handle_answer(answer: Any) -> None:
             if isinstance(answer, PeerLost):
                 on_answer(answer)
                 return
             try:
                 outcome = decode_outcome(answer)
             except MessageError:
-                # The exchange is over; unless somebody says so here, the
-                # caller waits for an answer that never comes.
+                # No other answer follows. Without this call, the caller would
+                # wait for an answer that never comes.
                 on_answer(PeerLost(sent=True))
                 raise
             on_answer(outcome)
 
         timeout = max(0.0, stmt.deadline - now) + ANSWER_GRACE
         self._peers.ask(
-            vm.address, encode_statement(stmt, now), timeout, answered
+            vm.address, encode_statement(stmt, now), timeout, handle_answer
         )
 
-    def _note(self, vm: Vm, outcome: Outcome) -> None:
+    def _record_answer(self, vm: Vm, outcome: Outcome) -> None:
         now = self._reactor.now()
         self._membership.record_contact(vm.name, now)
         if isinstance(outcome, NotRun) and outcome.reason is Reason.DRAINING:
             self._membership.set_draining(vm.name, now)
 
 
-def _harmless(stmt: Statement) -> bool:
-    """Tell whether running a statement twice is as good as once.
+def _is_safe_to_repeat(stmt: Statement) -> bool:
+    """Return whether a statement may run twice.
 
-    A BEGIN whose answer was lost leaves a transaction whose handle nobody
-    has: it can only be rolled back.
+    A BEGIN whose answer was lost leaves a transaction without a known handle,
+    which can only be rolled back.
     """
     return stmt.step is StepKind.BEGIN or not stmt.write
 
 
-def _to_primary(stmt: Statement, outcome: NotRun) -> bool:
-    """Tell whether to ask again with leave to read at the primary."""
+def _should_allow_primary(stmt: Statement, outcome: NotRun) -> bool:
+    """Return whether to try again with a read allowed at the primary."""
     no_share = outcome.reason is Reason.NOT_HOLDER
-    return no_share and not stmt.write and not stmt.settle
+    return no_share and not stmt.write and not stmt.allow_primary
 
 
-def _no_holder() -> NotRun:
+def _no_holder_outcome() -> NotRun:
     return NotRun(reason=Reason.NO_HOLDER, retry_after_ms=RETRY_SOON_MS)
 
 
-def _lost(stmt: Statement, lost: PeerLost) -> Outcome:
-    """Say what is known when the holder's answer did not come."""
+def _lost_outcome(stmt: Statement, lost: PeerLost) -> Outcome:
+    """Return the outcome of a statement whose holder did not answer."""
     match stmt.step:
         case StepKind.STATEMENT | StepKind.ROLLBACK:
-            # The caller still has the old handle. With that one nothing of
-            # the transaction can be committed any more.
+            # The caller has only the old handle, with which the transaction
+            # can no longer be committed.
             return NotRun(
                 reason=Reason.TRANSACTION_LOST, retry_after_ms=RETRY_SOON_MS
             )
         case StepKind.COMMIT:
-            # Also when this try was not sent: an earlier one, sent through
-            # an entry that has died since, may have committed.
+            # Unknown even if this try was not sent: an earlier one, sent
+            # through an entry that has died since, may have committed.
             return Unknown(
                 reason=Reason.TRANSACTION_LOST, retry_after_ms=RETRY_SOON_MS
             )
--- a/bamboospring/http_dialer.py
+++ b/bamboospring/http_dialer.py
@@ -1,4 +1,4 @@
-"""Open and check connections to this project's own targets, over HTTP."""
+"""Open and check HTTP connections to this project's own targets."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import orjson
 
 from bamboospring.blackboard import Target
+from bamboospring.connection_terminator import ConnectionTerminator
 from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpConnection
 from bamboospring.http_client import HttpLost
@@ -14,7 +15,6 @@
 from bamboospring.target_link import Health
 from bamboospring.target_link import Opened
 from bamboospring.target_link import OpenFailed
-from bamboospring.terminations import Terminations
 
 __all__ = ["HttpDialer"]
 
@@ -22,9 +22,9 @@
 class HttpDialer:
     """The dialer of one pool.
 
-    `idle_transaction` is the time in seconds after which the target is to
-    end an open transaction on which nothing happens. `on_ended` gets the
-    numbers of connections whose end the target has confirmed.
+    `idle_transaction` is the time in seconds after which the target has to
+    end an idle open transaction. `on_ended` is called with the ids of the
+    connections whose end the target has confirmed.
     """
 
     def __init__(
@@ -39,62 +39,66 @@
         self._reactor = reactor
         self._address = target.address
         idle_ms = int(idle_transaction * 1000)
-        self._hello = orjson.dumps(
+        self._connect_body = orjson.dumps(
             {"id": 0, "holder": vm, "idle_tx_ms": idle_ms}
         )
-        self._terminations = Terminations(
-            reactor=reactor, address=target.address, on_ended=on_ended
+        self._terminator = ConnectionTerminator(
+            reactor=reactor, address=target.address, on_terminated=on_ended
         )
 
     def open(
         self,
         team: str,
         timeout: float,
-        on_done: Callable[[Opened[HttpConnection] | OpenFailed], None],
+        on_complete: Callable[[Opened[HttpConnection] | OpenFailed], None],
     ) -> None:
-        """Open a statement connection; this outside knows no teams."""
+        """Open a statement connection; these targets have no teams."""
         conn = HttpConnection(reactor=self._reactor, address=self._address)
 
-        def connected(ok: bool) -> None:
+        def on_connected(ok: bool) -> None:
             if not ok:
-                on_done(OpenFailed())
+                on_complete(OpenFailed())
                 return
-            conn.request("POST", "/connect", self._hello, timeout, answered)
+            conn.request(
+                "POST", "/connect", self._connect_body, timeout, on_answer
+            )
 
-        def answered(answer: HttpAnswer | HttpLost) -> None:
+        def on_answer(answer: HttpAnswer | HttpLost) -> None:
             if isinstance(answer, HttpLost) or answer.status != 200:
                 conn.close()
-                on_done(OpenFailed())
+                on_complete(OpenFailed())
                 return
-            on_done(Opened(link=conn, number=_number(answer)))
+            on_complete(
+                Opened(link=conn, connection_id=_connection_id(answer))
+            )
 
-        conn.connect(timeout, connected)
+        conn.connect(timeout, on_connected)
 
     def check(
         self,
         link: HttpConnection,
         timeout: float,
-        on_done: Callable[[Health], None],
+        on_complete: Callable[[Health], None],
     ) -> None:
-        """Ask for the target's account of itself on an idle connection."""
+        """Request the target's report on an idle connection."""
 
-        def answered(answer: HttpAnswer | HttpLost) -> None:
+        def on_answer(answer: HttpAnswer | HttpLost) -> None:
             if not isinstance(answer, HttpLost):
-                on_done(Health.ALIVE)
+                on_complete(Health.ALIVE)
             elif answer.reason == "timeout":
-                on_done(Health.SILENT)
+                on_complete(Health.SILENT)
             else:
-                on_done(Health.CLOSED)
+                on_complete(Health.CLOSED)
 
-        link.request("GET", "/probe", b"", timeout, answered)
+        link.request("GET", "/probe", b"", timeout, on_answer)
 
-    def end(self, number: int) -> None:
-        """Have the target end a connection that was given up here."""
-        self._terminations.end(number)
+    def end(self, connection_id: int) -> None:
+        """Have the target end a connection that this side has closed."""
+        self._terminator.terminate(connection_id)
 
 
-def _number(answer: HttpAnswer) -> int:
-    """Return the connection's number at the target, 0 if it gave none."""
+def _connection_id(answer: HttpAnswer) -> int:
+    """Return the connection's id at the target, 0 if it sent none."""
     try:
         return int(orjson.loads(answer.body).get("connection", 0))
     except (ValueError, TypeError, AttributeError):
--- a/bamboospring/outcomes.py
+++ b/bamboospring/outcomes.py
@@ -1,8 +1,8 @@
-"""What became of a statement, as values.
+"""The outcomes of statements.
 
-The three refusals keep their words: `NotRun` and `Overloaded` are said only
-when nothing was sent to a target or the target itself said that nothing ran.
-Everything else that has no answer is `Unknown`.
+`NotRun` and `Overloaded` are used only if nothing was sent to a target or the
+target itself reported that nothing ran. Every other statement without an
+answer has the outcome `Unknown`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Reason(str, Enum):
-    """Why a statement was refused, failed or is unknown."""
+    """Why a statement was refused, failed or has an unknown outcome."""
 
     BAD_REQUEST = "bad_request"
     UNKNOWN_GROUP = "unknown_group"
@@ -61,10 +61,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class Done:
-    """The statement ran, and its effect is held by a majority.
+    """The statement ran, and a majority holds its effect.
 
-    `columns` and `rows` are JSON arrays as the target gave them: nobody on
-    the way reads them, so they are passed on as they are.
+    `columns` and `rows` are JSON arrays, passed on unparsed as the target
+    sent them.
     """
 
     term: int
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotRun:
-    """Nothing ran. `retry_after_ms` says when another try makes sense."""
+    """Nothing ran. Another try is useful after `retry_after_ms`."""
 
     reason: Reason
     retry_after_ms: int = 0
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """It may or may not have run; asking again with the same key tells."""
+    """It may or may not have run; a retry with the same key finds out."""
 
     reason: Reason
     retry_after_ms: int = 0
--- a/bamboospring/pool.py
+++ b/bamboospring/pool.py
@@ -1,15 +1,15 @@
 """Statement connections to targets, within this holder's share.
 
 A statement that asks for a connection first needs a slot, see
-`bamboospring.admission`, then gets an open connection or waits for a new one.
-How connections are opened, checked and closed is decided in
-`bamboospring.connections`.
-
-An open transaction keeps its connection, and its slot only while one of its
-statements runs. Writes pass one more gate: open transactions and running
-writes together are no more than the slots. Otherwise writes that wait for a
-lock of an open transaction would fill all slots, and the transaction could
-never get one to commit.
+`bamboospring.admission`, and then an open connection or a new one.
+`bamboospring.connections` decides when connections are opened, checked and
+closed.
+
+An open transaction keeps its connection, but holds a slot only while one of
+its statements runs. Writes need a second admission, which limits open
+transactions and running writes together to the number of slots. Otherwise
+writes that wait for a lock of an open transaction would take all slots, and
+the transaction could never get one to commit.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from typing import Generic
 
 from bamboospring.admission import Admission
+from bamboospring.admission import SlotDecision
 from bamboospring.admission import SlotGranted
 from bamboospring.admission import SlotQueued
 from bamboospring.admission import SlotRefused
 from bamboospring.admission import Ticket
-from bamboospring.admission import Verdict
 from bamboospring.blackboard import Target
 from bamboospring.breaker import Breaker
 from bamboospring.breaker import BreakerTiming
@@ -57,15 +57,15 @@
 ]
 
 CONNECT_TIMEOUT = 1.0
-# Seconds without a refusal for want of a place after which all connections of
-# the share may be used again.
-PLACES_FORGOTTEN_AFTER = 5.0
+# Seconds after which all connections of the share may be used again once the
+# target has refused a connection because it was at its limit.
+CONNECTION_LIMIT_RESET_AFTER = 5.0
 RETRY_SOON_MS = 100
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolTiming:
-    """Times of all pools, in seconds."""
+    """Durations of all pools, in seconds."""
 
     tick_interval: float = 0.25
     connect_timeout: float = CONNECT_TIMEOUT
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PoolCounters:
-    """What a pool has done, for reports and tests."""
+    """Event counts of a pool, for reports and tests."""
 
     opened: int = 0
     failed: int = 0
@@ -86,13 +86,13 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class LeasedConnection(Generic[LinkT]):
-    """A statement connection in the hands of one statement.
+    """A connection that is leased to one statement.
 
-    `slot` and `gate` are the tickets that it holds, `heard_at` is when the
-    connection was last seen alive, `number` is what the target calls it, and
-    `team` whom it was opened for.
-    Whoever gets no answer in time sets `silent` before the connection is
-    given back.
+    `slot_ticket` and `write_ticket` are the tickets that it holds.
+    `last_response_at` is when data last arrived on it, `connection_id` its id
+    at the target, and `team` the team that it was opened for.
+    A user that gets no answer in time sets `unresponsive` before it releases
+    the connection.
     """
 
     target: Target
@@ -100,15 +100,15 @@
     last_response_at: float = 0.0
     last_used_at: float = 0.0
     leased_at: float = 0.0
-    slot: Ticket | None = None
-    gate: Ticket | None = None
+    slot_ticket: Ticket | None = None
+    write_ticket: Ticket | None = None
     unresponsive: bool = False
     connection_id: int = 0
     team: str = ""
 
 
 OnReady = Callable[[LeasedConnection[LinkT] | NotRun | Overloaded], None]
-# How well a connection suits a statement; the highest is taken.
+# Rates how well a connection suits a statement; the highest score wins.
 LinkScore = Callable[[LinkT], int]
 
 
@@ -117,24 +117,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PendingAcquire:
-    """What was asked of a pool; `withdraw` forgets it while it waits."""
+    """A request for a connection; `cancel` removes it while it waits."""
 
     cancel: Callable[[], None]
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class _Asking(Generic[LinkT]):
-    """A statement on its way to a connection."""
+class _AcquireRequest(Generic[LinkT]):
+    """A statement's request for a slot and a connection."""
 
     caller: str
     deadline: float
     on_ready: OnReady[LinkT]
     team: str = ""
     urgency: int = 0
-    merit: LinkScore[LinkT] | None = None
-    gate: Ticket | None = None
-    slot: Ticket | None = None
-    ticket: Ticket | None = None
+    score: LinkScore[LinkT] | None = None
+    write_ticket: Ticket | None = None
+    slot_ticket: Ticket | None = None
+    queued_ticket: Ticket | None = None
     leased: LeasedConnection[LinkT] | None = None
     timer: Timer | None = None
 
@@ -155,68 +155,72 @@
         self.target = target
         self.counters = PoolCounters()
         self.breaker = Breaker(timing=timing.breaker)
-        # When the first opening or statement began since a word of the target
-        # came, also if it has been given up by now; None if none has.
+        # Start of the first opening or statement since the target's last
+        # response, even if it has been given up since; None if there is none.
         self.unanswered_since: float | None = None
-        # Since when openings are refused at once, None if the last was not:
-        # no process listens there.
+        # Start of the period in which the address refuses connections, as no
+        # process listens there; None if the last opening was not refused.
         self.refused_since: float | None = None
         self._reactor = reactor
         self._timing = timing
-        self._chance = random_float
-        self._dialer = make_dialer(target, self._on_ended)
+        self._random_float = random_float
+        self._dialer = make_dialer(target, self._on_terminated)
         self._share = TargetCapacity()
-        self._limit = ConcurrencyLimit(maximum=1)
-        self._places = ConcurrencyLimit(
-            maximum=1, forgotten_after=PLACES_FORGOTTEN_AFTER
+        self._slot_limit = ConcurrencyLimit(maximum=1)
+        self._connection_limit = ConcurrencyLimit(
+            maximum=1, reset_after=CONNECTION_LIMIT_RESET_AFTER
         )
-        self._slots = Admission(slots=0, queue_limit=queue_limit)
-        self._gate = Admission(slots=0, queue_limit=queue_limit)
-        self._connections = ConnectionTracker[LeasedConnection[LinkT]](
+        self._slot_admission = Admission(slots=0, queue_limit=queue_limit)
+        self._write_admission = Admission(slots=0, queue_limit=queue_limit)
+        self._tracker = ConnectionTracker[LeasedConnection[LinkT]](
             timing=timing.connections
         )
-        self._needing: deque[_Asking[LinkT]] = deque()
+        self._waiting_for_connection: deque[_AcquireRequest[LinkT]] = deque()
         self._opening_for: Counter[str] = Counter()
         self._leased: set[LeasedConnection[LinkT]] = set()
         self._pinned: set[LeasedConnection[LinkT]] = set()
-        self._opener: Timer | None = None
-        self._silent: set[int] = set()
+        self._open_timer: Timer | None = None
+        self._unconfirmed_closed: set[int] = set()
 
     @property
     def used(self) -> TargetCapacity:
-        """Return what is in use of the target.
+        """Return the slots and connections of the target in use.
 
-        While a transaction is open one slot counts as used, so that its
-        next statement finds one also after the share has been given up.
+        At least one slot counts as used while a transaction is open, so that
+        its next statement gets a slot even after the share has been given up.
         """
-        slots = self._slots.running
-        if self._pinned and self._slots.slots > 0:
+        slots = self._slot_admission.running
+        if self._pinned and self._slot_admission.slots > 0:
             slots = max(1, slots)
-        return TargetCapacity(slots=slots, connections=self._connections.total)
+        return TargetCapacity(slots=slots, connections=self._tracker.total)
 
     @property
     def share(self) -> TargetCapacity:
-        """Return what may be used."""
+        """Return the share of the target's limits."""
         return self._share
 
     @property
     def waiting(self) -> int:
-        """Return how many statements wait for a slot."""
-        return self._slots.waiting + self._gate.waiting
+        """Return the number of statements that wait for a slot."""
+        return self._slot_admission.waiting + self._write_admission.waiting
 
     def set_share(self, share: TargetCapacity) -> None:
-        """Take a new share; what is idle beyond it is closed at once."""
+        """Apply a new share; close idle connections beyond it at once."""
         self._share = share
-        self._limit.set_maximum(max(1, share.slots))
-        self._places.set_maximum(max(1, share.connections))
-        self._apply_share()
-        self._apply_places()
-        self._serve()
+        self._slot_limit.set_maximum(max(1, share.slots))
+        self._connection_limit.set_maximum(max(1, share.connections))
+        self._apply_slot_limit()
+        self._apply_connection_limit()
+        self._serve_waiting()
 
     def set_idle_limits(self, seconds: float, *, max_kept: int) -> None:
-        """Let so many connections rest for so long, others not as long."""
-        self._connections.idle_timeout = seconds
-        self._connections.max_kept_idle = max_kept
+        """Set the idle timeout, and for how many connections it applies.
+
+        The other idle connections are closed after the timing's
+        `spare_idle_timeout`.
+        """
+        self._tracker.idle_timeout = seconds
+        self._tracker.max_kept_idle = max_kept
 
     def acquire(
         self,
@@ -229,29 +233,29 @@
         urgency: int = 0,
         score: LinkScore[LinkT] | None = None,
     ) -> PendingAcquire:
-        """Call back with a connection, or with why there is none."""
-        asking = _Asking[LinkT](
+        """Call back with a connection or with the reason for a refusal."""
+        request = _AcquireRequest[LinkT](
             caller=caller,
             deadline=deadline,
             on_ready=on_ready,
             team=team,
             urgency=urgency,
-            merit=score,
+            score=score,
         )
         refusal = self._refusal()
         if refusal is not None:
             self.counters.refused += 1
             on_ready(refusal)
         elif is_write:
-            self._submit(self._gate, asking)
+            self._submit(self._write_admission, request)
         else:
-            self._submit(self._slots, asking)
-        return PendingAcquire(cancel=lambda: self._withdraw(asking))
+            self._submit(self._slot_admission, request)
+        return PendingAcquire(cancel=lambda: self._cancel(request))
 
     def release(
         self, leased: LeasedConnection[LinkT], *, healthy: bool
     ) -> None:
-        """Give a connection back; one in doubt is closed."""
+        """Return a connection; one that is not healthy is closed."""
         if leased not in self._leased:
             return
         now = self._reactor.now()
@@ -259,45 +263,46 @@
         self._pinned.discard(leased)
         self._free_slot(leased, now)
         if healthy:
-            self._heard(now)
-        if leased.gate is not None:
+            self._record_response(now)
+        if leased.write_ticket is not None:
             seconds = now - leased.leased_at
-            self._gate.release(leased.gate, seconds)
-            leased.gate = None
+            self._write_admission.release(leased.write_ticket, seconds)
+            leased.write_ticket = None
         if healthy and leased.conn.usable:
             leased.last_response_at = leased.last_used_at = now
-            keep = self._connections.give_back(leased)
+            keep = self._tracker.give_back(leased)
             if not keep:
                 leased.conn.close()
         else:
-            # A statement may be late at a target that is well, so only a
-            # heartbeat without an answer counts as a silent connection.
-            self._connections.lost()
-            self._give_up(leased)
+            # A statement can be slow at a healthy target, so only a heartbeat
+            # without an answer counts the connection as unresponsive.
+            self._tracker.record_lost()
+            self._terminate(leased)
         if leased.unresponsive:
-            self._suspect()
-        self._apply_share()
-        self._serve()
+            self._check_all_idle()
+        self._apply_slot_limit()
+        self._serve_waiting()
 
     def record_slot_result(self, *, found: bool) -> None:
-        """Note whether the target had a slot for a statement.
+        """Record whether the target had a free slot for a statement.
 
-        Whoever shares the target with other processes and queues for many
-        callers says so; then as many are sent at once as find slots.
+        A process that shares the target with others and queues statements of
+        many callers calls this. The number of statements in flight then
+        adapts to the slots that are free.
         """
         if found:
-            self._limit.record_success()
+            self._slot_limit.record_success()
         else:
-            self._limit.record_refusal(self._reactor.now())
-        self._apply_share()
+            self._slot_limit.record_refusal(self._reactor.now())
+        self._apply_slot_limit()
 
     def release_slot(self, leased: LeasedConnection[LinkT]) -> None:
-        """Keep a transaction's connection and give its slot back."""
+        """Release the slot of a transaction but keep its connection."""
         now = self._reactor.now()
         self._pinned.add(leased)
         self._free_slot(leased, now)
-        self._heard(now)
-        self._serve()
+        self._record_response(now)
+        self._serve_waiting()
 
     def reacquire_slot(
         self,
@@ -306,431 +311,477 @@
         deadline: float,
         on_ready: OnReady[LinkT],
     ) -> None:
-        """Get a slot again for the next statement of a transaction."""
-        asking = _Asking[LinkT](
+        """Acquire a slot for the next statement of a transaction."""
+        request = _AcquireRequest[LinkT](
             caller=caller, deadline=deadline, on_ready=on_ready, leased=leased
         )
-        self._submit(self._slots, asking)
+        self._submit(self._slot_admission, request)
 
     def tick(self) -> None:
-        """Check what is idle, refuse what is late; a few times a second."""
+        """Check idle connections and refuse expired requests.
+
+        To be called a few times a second.
+        """
         now = self._reactor.now()
-        self._apply_share()
-        self._apply_places()
-        self._take(self._gate.expire(now), self._gate)
-        self._take(self._slots.expire(now), self._slots)
+        self._apply_slot_limit()
+        self._apply_connection_limit()
+        self._apply_decisions(
+            self._write_admission.expire(now), self._write_admission
+        )
+        self._apply_decisions(
+            self._slot_admission.expire(now), self._slot_admission
+        )
         self._check_idle()
-        self._serve()
+        self._serve_waiting()
 
     def close_all(self) -> None:
-        """Close every connection, busy or not."""
-        for leased in self._connections.take_idle():
+        """Close every connection, including those in use."""
+        for leased in self._tracker.take_all_idle():
             leased.conn.close()
         for leased in list(self._leased):
             leased.conn.close()
 
-    def _give_up(self, leased: LeasedConnection[LinkT]) -> None:
-        """Close a connection in doubt, at the target as well."""
+    def _terminate(self, leased: LeasedConnection[LinkT]) -> None:
+        """Close a connection here and have the target end it as well."""
         leased.conn.close()
         self._dialer.end(leased.connection_id)
 
-    def _on_ended(self, numbers: list[int]) -> None:
-        ended = self._silent.intersection(numbers)
-        self._silent -= ended
-        self._connections.target_ended(len(ended))
-        self._serve()
+    def _on_terminated(self, connection_ids: list[int]) -> None:
+        closed = self._unconfirmed_closed.intersection(connection_ids)
+        self._unconfirmed_closed -= closed
+        self._tracker.record_target_closed(len(closed))
+        self._serve_waiting()
 
     # Slots.
 
-    def _apply_share(self) -> None:
+    def _apply_slot_limit(self) -> None:
         now = self._reactor.now()
-        slots = self.breaker.slots(self._share.slots, now)
-        slots = min(slots, self._limit.allowed(now))
+        slots = self.breaker.allowed_slots(self._share.slots, now)
+        slots = min(slots, self._slot_limit.allowed(now))
         if self._pinned:
             slots = max(1, slots)
-        self._slots.slots = slots
-        self._gate.slots = max(1, slots) if slots else 0
+        self._slot_admission.slots = slots
+        self._write_admission.slots = max(1, slots) if slots else 0
 
-    def _apply_places(self) -> None:
-        """Keep fewer connections where the target had no place lately.
+    def _apply_connection_limit(self) -> None:
+        """Lower the connection limit after refusals by the target.
 
-        Never fewer than the slots: what rests is given up, not what works.
+        The limit is never below the number of slots, so only idle
+        connections are given up.
         """
         share, now = self._share, self._reactor.now()
-        limit = max(share.slots, self._places.allowed(now))
+        limit = max(share.slots, self._connection_limit.allowed(now))
         limit = min(limit, share.connections)
-        for leased in self._connections.set_limit(limit):
+        for leased in self._tracker.set_limit(limit):
             leased.conn.close()
 
     def _refusal(self) -> NotRun | None:
         if self._share.slots <= 0 or self._share.connections <= 0:
-            # Another holder has a share of this target.
+            # All of this target's limits belong to other holders.
             return NotRun(
                 reason=Reason.NOT_HOLDER, retry_after_ms=RETRY_SOON_MS
             )
         now = self._reactor.now()
-        closed = not self.breaker.may_try(now)
-        if closed and self._connections.total == 0:
+        is_open = not self.breaker.should_wait_for_open(now)
+        if is_open and self._tracker.total == 0:
             return self._unreachable(now)
         return None
 
     def _unreachable(self, now: float) -> NotRun:
-        left = max(0.0, self.breaker.retry_at - now)
+        remaining = max(0.0, self.breaker.retry_at - now)
         return NotRun(
             reason=Reason.TARGET_UNREACHABLE,
-            retry_after_ms=max(RETRY_SOON_MS, int(left * 1000)),
+            retry_after_ms=max(RETRY_SOON_MS, int(remaining * 1000)),
         )
 
-    def _submit(self, admission: Admission, asking: _Asking[LinkT]) -> None:
+    def _submit(
+        self, admission: Admission, request: _AcquireRequest[LinkT]
+    ) -> None:
         ticket = Ticket(
-            caller=asking.caller,
-            deadline=asking.deadline,
-            urgency=asking.urgency,
-            item=asking,
+            caller=request.caller,
+            deadline=request.deadline,
+            urgency=request.urgency,
+            item=request,
         )
-        asking.ticket = ticket
+        request.queued_ticket = ticket
         now = self._reactor.now()
-        self._take(admission.submit(ticket, now), admission)
+        self._apply_decisions(admission.submit(ticket, now), admission)
 
-    def _take(self, verdicts: list[Verdict], admission: Admission) -> None:
-        for verdict in verdicts:
-            asking: _Asking[LinkT] = verdict.ticket.item
-            match verdict:
+    def _apply_decisions(
+        self, decisions: list[SlotDecision], admission: Admission
+    ) -> None:
+        for decision in decisions:
+            request: _AcquireRequest[LinkT] = decision.ticket.item
+            match decision:
                 case SlotGranted(ticket=ticket):
-                    self._stop_timer(asking)
-                    self._granted(asking, ticket, admission)
+                    self._stop_timer(request)
+                    self._on_slot_granted(request, ticket, admission)
                 case SlotQueued(ticket=ticket):
-                    self._start_timer(asking, ticket, admission)
+                    self._start_timer(request, ticket, admission)
                 case SlotRefused(outcome=outcome):
-                    self._stop_timer(asking)
-                    self._give_gate_back(asking)
+                    self._stop_timer(request)
+                    self._release_write_ticket(request)
                     self.counters.refused += 1
-                    asking.on_ready(outcome)
+                    request.on_ready(outcome)
 
-    def _granted(
-        self, asking: _Asking[LinkT], ticket: Ticket, admission: Admission
+    def _on_slot_granted(
+        self,
+        request: _AcquireRequest[LinkT],
+        ticket: Ticket,
+        admission: Admission,
     ) -> None:
-        if admission is self._gate:
-            asking.gate = ticket
-            self._submit(self._slots, asking)
-        elif asking.leased is not None:
-            asking.slot = ticket
-            self._hand(asking, asking.leased)
+        if admission is self._write_admission:
+            request.write_ticket = ticket
+            self._submit(self._slot_admission, request)
+        elif request.leased is not None:
+            request.slot_ticket = ticket
+            self._hand_over(request, request.leased)
         else:
-            asking.slot = ticket
-            self._needing.append(asking)
-            self._supply()
-            # Handed over at once, as most are, or still waiting?
-            if self._needing and asking in self._needing:
-                left = asking.deadline - self._reactor.now()
-                asking.timer = self._reactor.call_later(
-                    max(0.0, left), lambda: self._needed_too_long(asking)
+            request.slot_ticket = ticket
+            self._waiting_for_connection.append(request)
+            self._assign_connections()
+            # Most requests get an idle connection immediately. A timer is
+            # needed only for those that still wait.
+            if (
+                self._waiting_for_connection
+                and request in self._waiting_for_connection
+            ):
+                remaining = request.deadline - self._reactor.now()
+                request.timer = self._reactor.call_later(
+                    max(0.0, remaining),
+                    lambda: self._on_connection_timeout(request),
                 )
 
-    def _withdraw(self, asking: _Asking[LinkT]) -> None:
-        """Forget an asking whose caller has gone, wherever it waits."""
-        self._stop_timer(asking)
-        if asking in self._needing:
-            self._needing.remove(asking)
-            self._give_slot_back(asking)
-            self._serve()
+    def _cancel(self, request: _AcquireRequest[LinkT]) -> None:
+        """Remove a request whose caller has gone from any queue."""
+        self._stop_timer(request)
+        if request in self._waiting_for_connection:
+            self._waiting_for_connection.remove(request)
+            self._release_tickets(request)
+            self._serve_waiting()
             return
-        ticket = asking.ticket
-        for admission in (self._gate, self._slots):
+        ticket = request.queued_ticket
+        for admission in (self._write_admission, self._slot_admission):
             if ticket is not None and admission.is_queued(ticket):
                 admission.cancel(ticket)
-                self._give_gate_back(asking)
+                self._release_write_ticket(request)
 
     def _start_timer(
-        self, asking: _Asking[LinkT], ticket: Ticket, admission: Admission
+        self,
+        request: _AcquireRequest[LinkT],
+        ticket: Ticket,
+        admission: Admission,
     ) -> None:
-        def late() -> None:
-            self._take(admission.expire(self._reactor.now()), admission)
+        def on_timeout() -> None:
+            self._apply_decisions(
+                admission.expire(self._reactor.now()), admission
+            )
 
-        left = asking.deadline - self._reactor.now()
-        asking.timer = self._reactor.call_later(max(0.0, left), late)
+        remaining = request.deadline - self._reactor.now()
+        request.timer = self._reactor.call_later(
+            max(0.0, remaining), on_timeout
+        )
 
-    def _stop_timer(self, asking: _Asking[LinkT]) -> None:
-        if asking.timer is not None:
-            asking.timer.cancel()
-            asking.timer = None
+    def _stop_timer(self, request: _AcquireRequest[LinkT]) -> None:
+        if request.timer is not None:
+            request.timer.cancel()
+            request.timer = None
 
     def _free_slot(self, leased: LeasedConnection[LinkT], now: float) -> None:
-        if leased.slot is not None:
-            self._slots.release(leased.slot, now - leased.leased_at)
-            leased.slot = None
+        if leased.slot_ticket is not None:
+            self._slot_admission.release(
+                leased.slot_ticket, now - leased.leased_at
+            )
+            leased.slot_ticket = None
 
-    def _give_gate_back(self, asking: _Asking[LinkT]) -> None:
-        if asking.gate is not None:
-            self._gate.release(asking.gate, self._gate.estimate)
-            asking.gate = None
+    def _release_write_ticket(self, request: _AcquireRequest[LinkT]) -> None:
+        if request.write_ticket is not None:
+            self._write_admission.release(
+                request.write_ticket, self._write_admission.estimate
+            )
+            request.write_ticket = None
 
-    def _serve(self) -> None:
+    def _serve_waiting(self) -> None:
         if self.waiting:
             now = self._reactor.now()
-            self._take(self._gate.grant_next(now), self._gate)
-            self._take(self._slots.grant_next(now), self._slots)
-        if self._needing:
-            self._supply()
+            self._apply_decisions(
+                self._write_admission.grant_next(now), self._write_admission
+            )
+            self._apply_decisions(
+                self._slot_admission.grant_next(now), self._slot_admission
+            )
+        if self._waiting_for_connection:
+            self._assign_connections()
 
     # Connections.
 
-    def _supply(self) -> None:
-        """Give waiting statements open connections, and open new ones."""
+    def _assign_connections(self) -> None:
+        """Assign idle connections to waiting requests; open new ones."""
         now = self._reactor.now()
-        for asking in list(self._needing):
-            # Handing one over may have given others theirs.
-            if asking not in self._needing:
+        for request in list(self._waiting_for_connection):
+            # A callback of the previous hand-over may have served this one.
+            if request not in self._waiting_for_connection:
                 continue
-            leased = self._take_idle(asking, now)
+            leased = self._take_idle(request, now)
             if leased is not None:
-                self._needing.remove(asking)
-                self._hand(asking, leased)
-        if self._needing:
+                self._waiting_for_connection.remove(request)
+                self._hand_over(request, leased)
+        if self._waiting_for_connection:
             self._check_idle()
             self._open_or_wait(now)
 
     def _take_idle(
-        self, asking: _Asking[LinkT], now: float
+        self, request: _AcquireRequest[LinkT], now: float
     ) -> LeasedConnection[LinkT] | None:
-        """Return an open connection of the team that asks, if one rests."""
-        merit = asking.merit
+        """Return an idle connection of the request's team, if any."""
+        score = request.score
         while True:
-            leased = self._connections.lease_idle(
-                now, asking.team, merit and _by_link(merit)
+            leased = self._tracker.lease_idle(
+                now, request.team, score and _score_of_leased(score)
             )
             if leased is None or leased.conn.usable:
                 return leased
-            self._connections.lost()
-
-    def _needed_too_long(self, asking: _Asking[LinkT]) -> None:
-        asking.timer = None
-        if asking in self._needing:
-            self._needing.remove(asking)
-            self._give_slot_back(asking)
-            asking.on_ready(
+            self._tracker.record_lost()
+
+    def _on_connection_timeout(self, request: _AcquireRequest[LinkT]) -> None:
+        request.timer = None
+        if request in self._waiting_for_connection:
+            self._waiting_for_connection.remove(request)
+            self._release_tickets(request)
+            request.on_ready(
                 NotRun(reason=Reason.DEADLINE, retry_after_ms=RETRY_SOON_MS)
             )
-            self._serve()
+            self._serve_waiting()
 
-    def _give_slot_back(self, asking: _Asking[LinkT]) -> None:
-        if asking.slot is not None:
-            self._slots.release(asking.slot, self._slots.estimate)
-            asking.slot = None
-        self._give_gate_back(asking)
+    def _release_tickets(self, request: _AcquireRequest[LinkT]) -> None:
+        if request.slot_ticket is not None:
+            self._slot_admission.release(
+                request.slot_ticket, self._slot_admission.estimate
+            )
+            request.slot_ticket = None
+        self._release_write_ticket(request)
 
-    def _hand(
-        self, asking: _Asking[LinkT], leased: LeasedConnection[LinkT]
+    def _hand_over(
+        self, request: _AcquireRequest[LinkT], leased: LeasedConnection[LinkT]
     ) -> None:
-        self._stop_timer(asking)
-        leased.slot = asking.slot
-        if asking.gate is not None:
-            leased.gate = asking.gate
+        self._stop_timer(request)
+        leased.slot_ticket = request.slot_ticket
+        if request.write_ticket is not None:
+            leased.write_ticket = request.write_ticket
         leased.leased_at = self._reactor.now()
         self._leased.add(leased)
-        self._asked(leased.leased_at)
-        asking.on_ready(leased)
+        self._record_sent(leased.leased_at)
+        request.on_ready(leased)
 
     def _open_or_wait(self, now: float) -> None:
-        lacking = self._lacking()
-        self._make_room(lacking, now)
-        missing = len(lacking) + self._connections.opening
-        wait = self._connections.open_delay(now, missing)
-        if wait is None:
+        teams = self._teams_without_connection()
+        self._close_idle_of_other_teams(teams, now)
+        missing = len(teams) + self._tracker.opening
+        delay = self._tracker.open_delay(now, missing)
+        if delay is None:
             return
-        if wait > 0:
-            if self._opener is None:
-                self._opener = self._reactor.call_later(wait, self._open_due)
-        elif self.breaker.may_open(now):
-            self._connections.record_opening(now, draw=self._chance())
-            self._asked(now)
-            self._open(lacking[0])
+        if delay > 0:
+            if self._open_timer is None:
+                self._open_timer = self._reactor.call_later(
+                    delay, self._open_due
+                )
+        elif self.breaker.allow_open(now):
+            self._tracker.record_opening(now, draw=self._random_float())
+            self._record_sent(now)
+            self._open(teams[0])
             self._open_or_wait(now)
-        elif self._connections.opening == 0:
-            self._fail_needing(now)
-
-    def _lacking(self) -> list[str]:
-        """Return the team of each that needs a connection not yet opening."""
-        left = Counter(self._opening_for)
-        lacking = []
-        for asking in self._needing:
-            if left[asking.team] > 0:
-                left[asking.team] -= 1
+        elif self._tracker.opening == 0:
+            self._refuse_if_unconnected(now)
+
+    def _teams_without_connection(self) -> list[str]:
+        """Return the team of each request that has no connection opening."""
+        opening = Counter(self._opening_for)
+        teams = []
+        for request in self._waiting_for_connection:
+            if opening[request.team] > 0:
+                opening[request.team] -= 1
             else:
-                lacking.append(asking.team)
-        return lacking
+                teams.append(request.team)
+        return teams
 
-    def _make_room(self, lacking: list[str], now: float) -> None:
-        """Close what rests for other teams where no more may be opened.
+    def _close_idle_of_other_teams(self, teams: list[str], now: float) -> None:
+        """Close another team's idle connection if no more may be opened.
 
-        Else a team would wait for as long as another's connection rests.
+        Otherwise a team would wait until that connection's idle timeout.
         """
-        connections = self._connections
-        at_limit = connections.total >= connections.limit
-        if not lacking or not (at_limit or connections.is_scarce(now)):
+        tracker = self._tracker
+        at_limit = tracker.total >= tracker.limit
+        if not teams or not (at_limit or tracker.is_scarce(now)):
             return
-        leased = connections.take_oldest_idle(lacking)
+        leased = tracker.take_oldest_idle(teams)
         if leased is not None:
             leased.conn.close()
 
     def _open_due(self) -> None:
-        self._opener = None
-        self._supply()
+        self._open_timer = None
+        self._assign_connections()
 
     def _open(self, team: str) -> None:
         self._opening_for[team] += 1
 
-        def done(result: Opened[LinkT] | OpenFailed) -> None:
+        def on_complete(result: Opened[LinkT] | OpenFailed) -> None:
             self._opening_for.subtract([team])
-            # Zero counts of teams that have gone are dropped.
+            # The unary plus drops teams whose count is zero.
             self._opening_for = +self._opening_for
             match result:
                 case Opened():
-                    self._opened(result.link, result.number, team)
+                    self._on_opened(result.link, result.connection_id, team)
                 case OpenFailed(full=True):
-                    self._target_full()
+                    self._on_target_full()
                 case OpenFailed():
-                    self._open_failed(refused=result.refused)
+                    self._on_open_failed(refused=result.refused)
 
-        self._dialer.open(team, self._timing.connect_timeout, done)
+        self._dialer.open(team, self._timing.connect_timeout, on_complete)
 
-    def _target_full(self) -> None:
-        """Take back an opening that the target's own limit forbids.
+    def _on_target_full(self) -> None:
+        """Handle an opening that the target refused because of its limit.
 
-        The target is well, so its circuit stays closed; but others need its
-        connections too, so ours that rest are closed soon for a while. What
-        waits here without any connection of ours to wait for is refused:
-        another target may have a place, or another VM a connection.
+        The target is healthy, so the circuit stays closed. Other holders need
+        its connections too, so for a while idle connections of this pool are
+        closed earlier. If the pool has no open connection, the waiting
+        requests are refused: another target may have room, or another VM may
+        have a connection.
         """
         now = self._reactor.now()
         self.counters.full += 1
-        self.breaker.answered(now)
-        self._connections.open_failed()
-        self._heard(now)
-        needing = {asking.team for asking in self._needing}
-        resting = self._connections.take_oldest_idle(needing)
-        self._connections.record_target_full(
-            now, place_left=resting is not None
-        )
-        self._places.record_refusal(now)
-        self._apply_places()
-        if resting is not None:
-            resting.conn.close()
-        elif self._connections.open == 0:
-            self._refuse_needing(
+        self.breaker.record_success(now)
+        self._tracker.record_open_failed()
+        self._record_response(now)
+        teams = {request.team for request in self._waiting_for_connection}
+        replaced = self._tracker.take_oldest_idle(teams)
+        self._tracker.record_target_full(now, replacing=replaced is not None)
+        self._connection_limit.record_refusal(now)
+        self._apply_connection_limit()
+        if replaced is not None:
+            replaced.conn.close()
+        elif self._tracker.open == 0:
+            self._refuse_waiting(
                 Overloaded(
                     reason=Reason.TARGET_CONNECTIONS,
                     retry_after_ms=RETRY_SOON_MS,
                 )
             )
-        self._serve()
+        self._serve_waiting()
 
-    def _opened(self, conn: LinkT, number: int, team: str) -> None:
+    def _on_opened(self, conn: LinkT, connection_id: int, team: str) -> None:
         now = self._reactor.now()
         self.counters.opened += 1
-        self._heard(now)
+        self._record_response(now)
         self.refused_since = None
-        self.breaker.answered(now)
+        self.breaker.record_success(now)
         leased = LeasedConnection(
             target=self.target,
             conn=conn,
             last_response_at=now,
             last_used_at=now,
-            connection_id=number,
+            connection_id=connection_id,
             team=team,
         )
-        if not self._connections.add_opened(leased):
+        if not self._tracker.add_opened(leased):
             conn.close()
-        self._apply_share()
-        self._serve()
+        self._apply_slot_limit()
+        self._serve_waiting()
 
-    def _open_failed(self, *, refused: bool) -> None:
+    def _on_open_failed(self, *, refused: bool) -> None:
         now = self._reactor.now()
         if not refused:
             self.refused_since = None
         elif self.refused_since is None:
             self.refused_since = now
         self.counters.failed += 1
-        self._connections.open_failed()
-        self.breaker.failed(now, draw=self._chance())
-        if self._connections.opening == 0:
-            self._fail_needing(now)
-        self._serve()
-
-    def _fail_needing(self, now: float) -> None:
-        """Refuse what waits for a connection to a target without any."""
-        if self._connections.total == 0:
-            self._refuse_needing(self._unreachable(now))
-
-    def _refuse_needing(self, refusal: NotRun | Overloaded) -> None:
-        needing, self._needing = self._needing, deque()
-        for asking in needing:
-            self._stop_timer(asking)
-            self._give_slot_back(asking)
-        for asking in needing:
-            asking.on_ready(refusal)
-
-    # Words of the target.
-
-    def _asked(self, now: float) -> None:
+        self._tracker.record_open_failed()
+        self.breaker.record_failure(now, draw=self._random_float())
+        if self._tracker.opening == 0:
+            self._refuse_if_unconnected(now)
+        self._serve_waiting()
+
+    def _refuse_if_unconnected(self, now: float) -> None:
+        """Refuse waiting requests if the pool has no connection at all."""
+        if self._tracker.total == 0:
+            self._refuse_waiting(self._unreachable(now))
+
+    def _refuse_waiting(self, refusal: NotRun | Overloaded) -> None:
+        requests, self._waiting_for_connection = (
+            self._waiting_for_connection,
+            deque(),
+        )
+        for request in requests:
+            self._stop_timer(request)
+            self._release_tickets(request)
+        for request in requests:
+            request.on_ready(refusal)
+
+    # Responses of the target.
+
+    def _record_sent(self, now: float) -> None:
         if self.unanswered_since is None:
             self.unanswered_since = now
 
-    def _heard(self, now: float) -> None:
-        asking = self._connections.opening > 0 or any(
-            leased.slot is not None for leased in self._leased
+    def _record_response(self, now: float) -> None:
+        is_waiting = self._tracker.opening > 0 or any(
+            leased.slot_ticket is not None for leased in self._leased
         )
-        self.unanswered_since = now if asking else None
+        self.unanswered_since = now if is_waiting else None
 
     # Heartbeats.
 
-    def _suspect(self) -> None:
-        # What lost track of one connection has often lost many. Checking the
-        # idle ones at once costs one short exchange each and no slot, where
-        # each statement sent on a dead one waits for its whole deadline.
-        self._connections.suspect_idle()
+    def _check_all_idle(self) -> None:
+        # A middlebox that has dropped the state of one connection has often
+        # dropped that of many. Checking the idle ones immediately costs one
+        # short exchange each and no slot, whereas a statement sent on a dead
+        # connection waits until its deadline.
+        self._tracker.require_idle_checks()
         self._check_idle()
 
     def _check_idle(self) -> None:
         now = self._reactor.now()
-        for leased in self._connections.take_expired(now):
+        for leased in self._tracker.take_expired(now):
             leased.conn.close()
-        for leased in self._connections.take_due_for_check(now):
+        for leased in self._tracker.take_due_for_check(now):
             self._check(leased)
 
     def _check(self, leased: LeasedConnection[LinkT]) -> None:
         if not leased.conn.usable:
-            self._connections.lost()
+            self._tracker.record_lost()
             leased.conn.close()
             return
         timeout = self._timing.connections.heartbeat_timeout
 
-        def checked(health: Health) -> None:
+        def on_complete(health: Health) -> None:
             if health is Health.ALIVE:
                 leased.last_response_at = self._reactor.now()
-                self._heard(leased.last_response_at)
-                if not self._connections.give_back(leased):
+                self._record_response(leased.last_response_at)
+                if not self._tracker.give_back(leased):
                     leased.conn.close()
             else:
-                self._found_dead(leased, silent=health is Health.SILENT)
-            self._supply()
+                self._on_dead_connection(
+                    leased, unresponsive=health is Health.SILENT
+                )
+            self._assign_connections()
 
-        self._dialer.check(leased.conn, timeout, checked)
+        self._dialer.check(leased.conn, timeout, on_complete)
 
-    def _found_dead(
-        self, leased: LeasedConnection[LinkT], *, silent: bool
+    def _on_dead_connection(
+        self, leased: LeasedConnection[LinkT], *, unresponsive: bool
     ) -> None:
         self.counters.dead += 1
         now = self._reactor.now()
-        self._connections.lost(silent_at=now if silent else None)
-        if silent:
-            self._silent.add(leased.connection_id)
-        self._give_up(leased)
-        if silent:
-            self._suspect()
+        self._tracker.record_lost(
+            unresponsive_at=now if unresponsive else None
+        )
+        if unresponsive:
+            self._unconfirmed_closed.add(leased.connection_id)
+        self._terminate(leased)
+        if unresponsive:
+            self._check_all_idle()
 
 
-def _by_link(
-    merit: LinkScore[LinkT],
+def _score_of_leased(
+    score: LinkScore[LinkT],
 ) -> Callable[[LeasedConnection[LinkT]], int]:
-    return lambda leased: merit(leased.conn)
+    return lambda leased: score(leased.conn)
--- a/bamboospring/pools.py
+++ b/bamboospring/pools.py
@@ -1,4 +1,4 @@
-"""All pools of a process, one for each life of a target."""
+"""All connection pools of a process, one for each start of a target."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Pools(Generic[LinkT]):
-    """All pools of this process, made when first asked for."""
+    """All pools of this process, created on first use."""
 
     def __init__(
         self,
@@ -37,11 +37,11 @@
         self._make_dialer = make_dialer
         self._queue_limit = queue_limit
         self._timing = timing or PoolTiming()
-        self._chance = random_float
+        self._random_float = random_float
         self._pools: dict[tuple[str, str, int], Pool[LinkT]] = {}
 
     def start(self) -> None:
-        """Begin to check pools at each interval."""
+        """Tick all pools at an interval and drop those that are unused."""
         for key, pool in list(self._pools.items()):
             pool.tick()
             if (
@@ -65,9 +65,10 @@
     ) -> PendingAcquire:
         """Ask for a connection to a target on behalf of a caller.
 
-        `writes` is true for what may wait for a lock at the target; the
-        connection is one of the caller's `team`; the lowest `urgency` goes
-        first; of idle connections the one of the highest `merit` is given.
+        `is_write` is true for a statement that may wait for a lock at the
+        target. The connection belongs to the caller's `team`. Requests with
+        the lowest `urgency` are served first. Of the idle connections, the one
+        with the highest `score` is used.
         """
         return self.pool(target).acquire(
             caller,
@@ -82,11 +83,11 @@
     def release(
         self, leased: LeasedConnection[LinkT], *, healthy: bool
     ) -> None:
-        """Give a connection back."""
+        """Return a connection to its pool."""
         self.pool(leased.target).release(leased, healthy=healthy)
 
     def release_slot(self, leased: LeasedConnection[LinkT]) -> None:
-        """Give a transaction's slot back between its statements."""
+        """Release a transaction's slot between its statements."""
         self.pool(leased.target).release_slot(leased)
 
     def reacquire_slot(
@@ -96,15 +97,15 @@
         caller: str,
         on_ready: OnReady,
     ) -> None:
-        """Get a slot for a transaction's next statement."""
+        """Acquire a slot for a transaction's next statement."""
         pool = self.pool(leased.target)
         pool.reacquire_slot(leased, caller, deadline, on_ready)
 
     def pool(self, target: Target) -> Pool[LinkT]:
         """Return the pool of a target.
 
-        Addresses are used again, and a target that has started anew keeps
-        nothing of its old connections, so each life has a pool of its own.
+        Addresses are reused, and a restarted target has none of its old
+        connections, so each start of a target has its own pool.
         """
         key = (target.address, target.name, target.born)
         found = self._pools.get(key)
@@ -115,7 +116,7 @@
                 make_dialer=self._make_dialer,
                 queue_limit=self._queue_limit,
                 timing=self._timing,
-                random_float=self._chance,
+                random_float=self._random_float,
             )
         return found
 
--- a/bamboospring/requests.py
+++ b/bamboospring/requests.py
@@ -1,8 +1,7 @@
-"""What callers send, as models checked at the border.
+"""The requests of callers, as models that validate them.
 
-Everything that passes here can be put into JSON again for a holder and a
-target without a loss: no NaN, no integers beyond 64 bits, no halves of
-surrogate pairs.
+Every accepted value can be encoded as JSON for a holder and a target without
+loss: no NaN, no integers beyond 64 bits, no lone surrogates.
 """
 
 from __future__ import annotations
@@ -19,18 +18,18 @@
 
 __all__ = ["SessionRequest", "StatementRequest", "TransactionRequest"]
 
-MAX_NAME = 200
-MAX_HANDLE = 1_024
+MAX_NAME_LENGTH = 200
+MAX_HANDLE_LENGTH = 1_024
 MAX_INTEGER = 2**63 - 1
-MAX_TOKEN = 16_384
-MAX_SQL = 65_536
+MAX_TOKEN_LENGTH = 16_384
+MAX_SQL_LENGTH = 65_536
 MAX_PARAMS = 1_000
 MAX_DEADLINE_MS = 60_000
 DEFAULT_DEADLINE_MS = 2_000
 MAX_STALENESS_MS = 86_400_000
 
 
-def _encodable(text: str) -> str:
+def _check_encodable(text: str) -> str:
     try:
         text.encode()
     except UnicodeEncodeError:
@@ -38,28 +37,28 @@
     return text
 
 
-Text = Annotated[str, AfterValidator(_encodable)]
+Text = Annotated[str, AfterValidator(_check_encodable)]
 
 
-def _checked_scalar(value: Any) -> Any:
-    # A union of types would take an integer that is too large as a float
-    # and change its value without a word.
+def _check_scalar(value: Any) -> Any:
+    # A union of types would silently convert an integer that is too large to
+    # a float and change its value.
     match value:
         case None | bool():
             return value
         case str():
-            return _encodable(value)
+            return _check_encodable(value)
         case int() if -MAX_INTEGER - 1 <= value <= MAX_INTEGER:
             return value
         case float() if math.isfinite(value):
             return value
         case int() | float():
-            raise ValueError("a number out of range")
+            raise ValueError("the number is out of range")
         case _:
-            raise ValueError("neither text, number, boolean nor null")
+            raise ValueError("must be text, a number, a boolean or null")
 
 
-Scalar = Annotated[Any, AfterValidator(_checked_scalar)]
+Scalar = Annotated[Any, AfterValidator(_check_scalar)]
 
 
 class _Model(BaseModel):
@@ -67,40 +66,42 @@
 
 
 class SessionRequest(_Model):
-    """Open a session."""
+    """A request to open a session."""
 
-    caller: Text = Field(min_length=1, max_length=MAX_NAME)
+    caller: Text = Field(min_length=1, max_length=MAX_NAME_LENGTH)
 
 
-class _Work(_Model):
-    token: str = Field(max_length=MAX_TOKEN)
-    group: Text = Field(min_length=1, max_length=MAX_NAME)
+class _StatementFields(_Model):
+    token: str = Field(max_length=MAX_TOKEN_LENGTH)
+    group: Text = Field(min_length=1, max_length=MAX_NAME_LENGTH)
     params: list[Scalar] = Field(default=[], max_length=MAX_PARAMS)
-    key: Text | None = Field(default=None, min_length=1, max_length=MAX_NAME)
+    key: Text | None = Field(
+        default=None, min_length=1, max_length=MAX_NAME_LENGTH
+    )
     deadline_ms: int = Field(
         default=DEFAULT_DEADLINE_MS, ge=1, le=MAX_DEADLINE_MS
     )
 
 
-class StatementRequest(_Work):
-    """One statement in a transaction of its own."""
+class StatementRequest(_StatementFields):
+    """A statement that runs in its own transaction."""
 
     kind: Literal["read", "write"]
-    sql: Text = Field(min_length=1, max_length=MAX_SQL)
+    sql: Text = Field(min_length=1, max_length=MAX_SQL_LENGTH)
     staleness_ms: int | None = Field(default=None, ge=0, le=MAX_STALENESS_MS)
 
 
-class TransactionRequest(_Work):
-    """A step of a transaction over several requests."""
+class TransactionRequest(_StatementFields):
+    """A step of a transaction that spans several requests."""
 
     step: Literal["begin", "statement", "commit", "rollback"]
-    transaction: str | None = Field(default=None, max_length=MAX_HANDLE)
+    transaction: str | None = Field(default=None, max_length=MAX_HANDLE_LENGTH)
     kind: Literal["read", "write"] = "write"
-    sql: Text | None = Field(default=None, max_length=MAX_SQL)
+    sql: Text | None = Field(default=None, max_length=MAX_SQL_LENGTH)
 
     def model_post_init(self, _context: Any) -> None:
-        """Check what belongs together."""
+        """Check the fields that depend on each other."""
         if self.step == "statement" and not self.sql:
-            raise ValueError("a statement needs sql")
+            raise ValueError("the step statement requires sql")
         if self.step != "begin" and not self.transaction:
-            raise ValueError(f"{self.step} needs the transaction's handle")
+            raise ValueError(f"{self.step} requires the transaction handle")
--- a/bamboospring/responses.py
+++ b/bamboospring/responses.py
@@ -1,4 +1,4 @@
-"""What callers get back: outcomes as HTTP responses with JSON bodies."""
+"""Encode outcomes as HTTP responses with JSON bodies."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 UNPROCESSABLE = 422
 UNAVAILABLE = 503
 TIMED_OUT = 504
-MAX_EXPLAINED = 10
+MAX_EXPLAINED_ERRORS = 10
 
-# Refusals that another try of the same request can't help.
-CALLERS_FAULTS = frozenset(
+# Reasons for which a retry of the same request is useless.
+CALLER_FAULTS = frozenset(
     {
         Reason.BAD_REQUEST,
         Reason.BAD_TOKEN,
@@ -40,8 +40,8 @@
 def encode_outcome(group: str, outcome: Outcome, token: str) -> Response:
     """Return the response for a statement's outcome."""
     if isinstance(outcome, Done):
-        done = _result(group, outcome, token)
-        return Response(status=OK, body=orjson.dumps(done))
+        result = _result(group, outcome, token)
+        return Response(status=OK, body=orjson.dumps(result))
     status, kind = _status(outcome)
     body: dict[str, Any] = {
         "outcome": kind,
@@ -54,7 +54,7 @@
     if isinstance(outcome, NotRun | Overloaded | Unknown):
         body["retry_after_ms"] = outcome.retry_after_ms
         if status != BAD_REQUEST:
-            # The header counts whole seconds, rounded up.
+            # The header has whole seconds, rounded up.
             seconds = -(-outcome.retry_after_ms // 1000)
             headers["Retry-After"] = str(seconds)
     return Response(status=status, body=orjson.dumps(body), headers=headers)
@@ -65,7 +65,7 @@
     reason: Reason = Reason.BAD_REQUEST,
     status: int = BAD_REQUEST,
 ) -> Response:
-    """Return the response to a request that can't be understood."""
+    """Return the response to an invalid request."""
     body = {
         "outcome": "not_run",
         "reason": reason.value,
@@ -76,14 +76,14 @@
 
 
 def explain(exc: ValidationError) -> str:
-    """Say what is wrong where, without repeating what was sent."""
+    """Return the errors with their locations but without the input."""
     parts = []
     errors = exc.errors(include_url=False, include_input=False)
-    for error in errors[:MAX_EXPLAINED]:
+    for error in errors[:MAX_EXPLAINED_ERRORS]:
         place = ".".join(str(part) for part in error["loc"])
         parts.append(f"{place}: {error['msg']}" if place else error["msg"])
-    if len(errors) > MAX_EXPLAINED:
-        parts.append(f"and {len(errors) - MAX_EXPLAINED} more")
+    if len(errors) > MAX_EXPLAINED_ERRORS:
+        parts.append(f"and {len(errors) - MAX_EXPLAINED_ERRORS} more")
     return "; ".join(parts)
 
 
@@ -93,7 +93,7 @@
     match outcome:
         case Failed():
             return UNPROCESSABLE, "failed"
-        case NotRun(reason=reason) if reason in CALLERS_FAULTS:
+        case NotRun(reason=reason) if reason in CALLER_FAULTS:
             return BAD_REQUEST, "not_run"
         case NotRun():
             return UNAVAILABLE, "not_run"
--- a/bamboospring/routing.py
+++ b/bamboospring/routing.py
@@ -1,13 +1,13 @@
-"""Where a statement goes: which target of the group, or what to wait for.
+"""Choose the target of a statement, or what the statement has to wait for.
 
-Pure decisions over the blackboard. Times and random numbers are passed in,
-so that the same facts always give the same choice.
+The functions here are pure: they read the blackboard and get the time and
+random numbers as arguments, so equal inputs give equal choices.
 
-A read may go to a replica that is known to hold all that the session has
-written and, where an age is stated, all that the primary had acknowledged
-that long ago. What is known can be too old but never too new: positions in a
-target's log only grow within a term, and the term is sent along, so that a
-target whose log was cut back since then refuses the read.
+A read may go to a replica that is known to hold all writes of the session
+and, if a maximum staleness is set, all writes that the primary had
+acknowledged that long ago. Known positions may be outdated but are never
+ahead of the target: a log only grows within a term. The term is sent with
+the read, so a target whose log was truncated in a later term refuses it.
 """
 
 from __future__ import annotations
@@ -26,43 +26,43 @@
 from bamboospring.statements import Position
 
 __all__ = [
-    "Confirm",
+    "ConfirmPrimary",
     "Draws",
     "SendRead",
     "ReadChoice",
     "ReadRequirements",
-    "Refuse",
-    "Wait",
+    "RefuseRead",
+    "WaitForReplica",
     "SendWrite",
     "choose_read",
     "choose_write",
     "majority_confirmed_at",
     "find_target",
     "fresh_since",
-    "is_silent",
-    "reaches_majority",
+    "is_unresponsive",
+    "is_majority_reachable",
     "required_index",
-    "satisfies",
+    "covers_position",
 ]
 
-# A target that has not answered for this long is passed over.
+# Seconds. A target whose last report is older gets no statements.
 MAX_REPORT_AGE = 1.5
-# Targets that have not answered for this long, twice the longest time that a
-# watched target has to answer in, are out of this process's reach.
-LOST_AFTER = 2.0
-# How long a read waits for a replica that is about to be far enough, and how
-# often it looks again. A longer wait costs the caller more than the primary
-# costs the fleet.
-READ_WAIT = 0.025
-RECHECK = 0.004
-# A target in another availability zone counts as having this many more
-# statements outstanding: about the cost of the way there and back.
+# Seconds after the last report until a target counts as unreachable. This is
+# twice the longest time that a watched target has for an answer.
+UNREACHABLE_AFTER = 2.0
+# Seconds that a read waits for a replica to catch up, and seconds between its
+# checks. A longer wait delays the caller by more than it saves in load on the
+# primary.
+MAX_REPLICA_WAIT = 0.025
+REPLICA_RECHECK_INTERVAL = 0.004
+# Statements in flight that are added to the load of a target in another
+# availability zone. This is about the cost of the longer round trip.
 OTHER_ZONE_COST = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Draws:
-    """Random numbers of one choice, each from 0 up to but not including 1."""
+    """Random numbers for one choice, each in [0, 1)."""
 
     site: float
     first: float
@@ -71,11 +71,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class ReadRequirements:
-    """What a read asks for.
+    """Requirements of a read.
 
-    `fresh_since` is the instant whose acknowledged writes must all be seen,
-    None if no age binds. `wait_until` ends the wait for a replica. `excluded`
-    names targets that were tried in vain.
+    The read must see all writes acknowledged before `fresh_since`; None means
+    that no staleness limit applies. `wait_until` ends the wait for a replica.
+    `excluded` names targets that were tried without success.
     """
 
     token: Position = Position()
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendRead:
-    """Send the read to this target at this term; it must be at `min_index`."""
+    """Send the read; the target must be at `term` and have `min_index`."""
 
     target: Target
     term: int
@@ -95,39 +95,39 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Wait:
-    """Look again after so many seconds: a replica is nearly far enough."""
+class WaitForReplica:
+    """Choose again after `seconds`: a replica has nearly caught up."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Confirm:
-    """Ask a majority whether the primary still is one, then look again.
+class ConfirmPrimary:
+    """Have a majority confirm the primary's term, then choose again.
 
-    Without it a primary that was cut off from its group passes for fresh,
-    while another one has long been taking writes.
+    Without this, a primary that is isolated from its group would serve stale
+    reads after another primary has accepted writes.
     """
 
     since: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Refuse:
-    """No target can serve this read now."""
+class RefuseRead:
+    """Refuse the read because no target can serve it."""
 
     reason: Reason
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SendWrite:
-    """Send the write to this target at this term."""
+    """Send the write to `target` at `term`."""
 
     target: Target
     term: int
 
 
-ReadChoice = SendRead | Wait | Confirm | Refuse
+ReadChoice = SendRead | WaitForReplica | ConfirmPrimary | RefuseRead
 
 
 def choose_read(
@@ -138,43 +138,43 @@
     zone: str,
     now: float,
     draws: Draws,
-    confirmed: float = -1e9,
+    confirmed_at: float = -1e9,
 ) -> ReadChoice:
     """Choose a replica, else a short wait for one, else the primary.
 
-    `confirmed` is the newest instant at which a majority was asked on
-    purpose and stood by the group's term.
+    `confirmed_at` is when a majority was last asked explicitly and reported
+    the group's term.
     """
     record = group.record
     if requirements.token.term > record.term:
-        return Refuse(reason=Reason.TOKEN_AHEAD)
-    view = _View(
+        return RefuseRead(reason=Reason.TOKEN_AHEAD)
+    context = _ReadContext(
         group=group,
         row=row,
-        needs=requirements,
-        index=required_index(record, requirements.token),
+        requirements=requirements,
+        min_index=required_index(record, requirements.token),
         now=now,
-        confirmed=max(confirmed, majority_confirmed_at(group)),
+        confirmed_at=max(confirmed_at, majority_confirmed_at(group)),
     )
     for role in (Role.REPLICA, Role.FENCED):
-        found = [t for t in record.targets if view.may_serve(t, role)]
-        if found:
-            best = _pick(group, row, found, zone, draws)
-            return view.read_at(best, replica=True)
-    if now < requirements.wait_until and view.replica_is_near():
-        return Wait(seconds=RECHECK)
-    return _choose_primary(view)
+        candidates = [t for t in record.targets if context.can_serve(t, role)]
+        if candidates:
+            best = _pick_target(group, row, candidates, zone, draws)
+            return context.send_read(best, replica=True)
+    if now < requirements.wait_until and context.has_nearly_current_replica():
+        return WaitForReplica(seconds=REPLICA_RECHECK_INTERVAL)
+    return _choose_primary(context)
 
 
 def choose_write(group: Group, row: TableRow, now: float) -> SendWrite | None:
-    """Return the primary if it is known to be one at the group's term.
+    """Return the primary if it reports this role at the group's term.
 
-    None means that the write has to wait: sent to a target that is silent
-    or no primary any more, it would end as unknown or refused.
+    None means that the write has to wait: a target that is unresponsive or
+    no longer primary would leave it with an unknown outcome or refuse it.
     """
     record = group.record
     target = find_target(group, record.primary)
-    if target is None or _majority_has_left(group):
+    if target is None or _is_majority_at_later_term(group):
         return None
     state = group.state(target.name)
     if state.role is not Role.PRIMARY or state.term != record.term:
@@ -184,49 +184,54 @@
     return SendWrite(target=target, term=record.term)
 
 
-def _majority_has_left(group: Group) -> bool:
-    """Tell whether most targets are at a later term than the record.
+def _is_majority_at_later_term(group: Group) -> bool:
+    """Return whether a majority of targets is at a later term.
 
-    Without this a write is sent to a primary that does not know of its
-    successor, and commits there; no majority will ever hold it, so its
-    caller is told "unknown" of a write that need not have been sent. Terms
-    only grow, so what has left does not come back.
+    Without this check a write is sent to a primary that does not know of its
+    successor. It commits there, but no majority ever holds it, so the caller
+    gets an unknown outcome that waiting would have avoided. Terms only grow,
+    so these targets do not return to the record's term.
     """
     record = group.record
-    left = sum(
+    later = sum(
         group.state(target.name).term > record.term
         for target in record.targets
     )
-    return left >= majority_size(len(record.targets))
+    return later >= majority_size(len(record.targets))
 
 
-def is_silent(group: Group, target: str, now: float) -> bool:
-    """Tell whether a target that was heard before is not heard any more."""
-    return -1e9 < group.state(target).last_response_at < now - LOST_AFTER
+def is_unresponsive(group: Group, target: str, now: float) -> bool:
+    """Return whether a target reported before and then stopped reporting."""
+    return (
+        -1e9 < group.state(target).last_response_at < now - UNREACHABLE_AFTER
+    )
 
 
-def reaches_majority(group: Group, now: float) -> bool:
-    """Tell whether enough targets are heard to acknowledge a write.
+def is_majority_reachable(group: Group, now: float) -> bool:
+    """Return whether enough targets respond to acknowledge a write.
 
-    Those never heard count as reached: this process has only just begun to
-    ask them. The loss of a majority that was heard is told at once, because
-    no change of primary can be made from here either.
-    None is in reach of a group whose targets were edited too far.
+    Targets that have never reported count as reachable, because this process
+    has only just started to ask them. If a majority stops responding, the
+    result is False at once: a change of primary is impossible from here too.
+    It is also False if an edit of the group's targets left no majority in
+    common with the old ones.
     """
     targets = group.record.targets
-    lost = sum(is_silent(group, target.name, now) for target in targets)
-    heard = len(targets) - lost
+    unresponsive = sum(
+        is_unresponsive(group, target.name, now) for target in targets
+    )
+    reachable = len(targets) - unresponsive
     return (
-        heard >= majority_size(len(targets))
+        reachable >= majority_size(len(targets))
         and not group.record.majority_overlap_lost
     )
 
 
 def required_index(record: GroupRecord, token: Position) -> int:
-    """Return the index that holds a session's writes in today's log.
+    """Return the index in the current log that holds a session's writes.
 
-    Entries of an older term beyond the start of the next one were never
-    acknowledged, so that start stands for whatever the position says.
+    Entries of an older term beyond the start of the next term were never
+    acknowledged, so the index is limited to that start.
     """
     for start in record.starts:
         if start.term > token.term:
@@ -234,23 +239,24 @@
     return token.index
 
 
-def satisfies(
-    record: GroupRecord, token: Position, answered: Position
+def covers_position(
+    record: GroupRecord, token: Position, position: Position
 ) -> bool:
-    """Tell whether an answer's position covers a session's writes."""
-    if answered.term < token.term:
+    """Return whether an answer's position covers a session's writes."""
+    if position.term < token.term:
         return False
-    if answered.term == token.term:
-        return answered.index >= token.index
-    return answered.index >= required_index(record, token)
+    if position.term == token.term:
+        return position.index >= token.index
+    return position.index >= required_index(record, token)
 
 
 def fresh_since(
     row: TableRow, staleness: float | None, now: float
 ) -> float | None:
-    """Return the instant whose writes must be seen, None if no age binds.
+    """Return the time up to which all writes must be seen.
 
-    The smaller of the caller's staleness and the row's limit counts.
+    The smaller of the caller's staleness and the row's limit applies. The
+    result is None if neither is set.
     """
     bounds = [] if staleness is None else [staleness]
     if row.max_staleness_ms > 0:
@@ -259,14 +265,13 @@
 
 
 def majority_confirmed_at(group: Group) -> float:
-    """Return the newest instant at which a majority was at the group's term.
+    """Return the last time at which a majority was at the group's term.
 
-    Another primary needs a majority at a higher term first, and a majority
-    that was asked at an instant and answered with the old term had not gone
-    there by then.
+    A new primary first needs a majority at a higher term. A majority that was
+    asked at this time and reported the old term had not moved on by then.
     """
     record = group.record
-    asked = sorted(
+    asked_at = sorted(
         (
             state.asked_at
             for target in record.targets
@@ -275,11 +280,11 @@
         reverse=True,
     )
     needed = majority_size(len(record.targets))
-    return asked[needed - 1] if len(asked) >= needed else -1e9
+    return asked_at[needed - 1] if len(asked_at) >= needed else -1e9
 
 
 def find_target(group: Group, name: str) -> Target | None:
-    """Return the group's target of that name."""
+    """Return the group's target with this name, or None."""
     for target in group.record.targets:
         if target.name == name:
             return target
@@ -287,59 +292,62 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _View:
-    """One read's look at a group."""
+class _ReadContext:
+    """The group's state and the requirements for one choice of a target."""
 
     group: Group
     row: TableRow
-    needs: ReadRequirements
-    index: int
+    requirements: ReadRequirements
+    min_index: int
     now: float
-    confirmed: float
+    confirmed_at: float
 
-    def may_serve(self, target: Target, role: Role) -> bool:
-        """Tell whether a target of the role holds all that is needed."""
+    def can_serve(self, target: Target, role: Role) -> bool:
+        """Return whether a target has this role and all required entries."""
         state = self.group.state(target.name)
         return (
             self._is_candidate(target, state, role)
-            and state.applied >= self.index
+            and state.applied >= self.min_index
             and self._is_fresh(state)
         )
 
-    def replica_is_near(self) -> bool:
-        """Tell whether some replica should be far enough within the wait.
+    def has_nearly_current_replica(self) -> bool:
+        """Return whether a replica should catch up during the wait.
 
-        A replica that was level with its primary a moment ago lags by no
-        more than that moment.
+        The lag of a replica is at most the time since it last was level with
+        its primary.
         """
         for target in self.group.record.targets:
             state = self.group.state(target.name)
             if not self._is_candidate(target, state, Role.REPLICA):
                 continue
-            behind = state.applied < self.index
-            if behind and self.now - state.caught_up_at <= READ_WAIT * 2:
+            behind = state.applied < self.min_index
+            if (
+                behind
+                and self.now - state.caught_up_at <= MAX_REPLICA_WAIT * 2
+            ):
                 return True
         return False
 
-    def read_at(self, target: Target, *, replica: bool) -> SendRead:
+    def send_read(self, target: Target, *, replica: bool) -> SendRead:
         return SendRead(
             target=target,
             term=self.group.state(target.name).term,
-            min_index=self.index,
+            min_index=self.min_index,
             replica=replica,
         )
 
     def _is_candidate(
         self, target: Target, state: TargetState, role: Role
     ) -> bool:
-        # The log of a target whose newest entry is of the group's term is a
-        # beginning of that term's log. One with older entries may be a
-        # former primary with entries that nobody else has, which follows but
-        # has not yet dropped them.
+        # If the last entry of a target has the group's term, its log is a
+        # prefix of that term's log. Otherwise the target may be a former
+        # primary that follows the new one but has not yet dropped entries
+        # that no other target has.
         return (
             state.role is role
             and state.last_term == self.group.record.term
-            and target.name not in self.needs.excluded
+            and target.name not in self.requirements.excluded
             and target.name not in self.row.leaving_targets
             and not state.leaving
             and self.now - state.last_response_at <= MAX_REPORT_AGE
@@ -347,61 +355,63 @@
         )
 
     def _is_fresh(self, state: TargetState) -> bool:
-        since = self.needs.fresh_since
-        if since is None:
+        fresh_since = self.requirements.fresh_since
+        if fresh_since is None:
             return True
-        return min(state.caught_up_at, self.confirmed) >= since
+        return min(state.caught_up_at, self.confirmed_at) >= fresh_since
 
 
-def _choose_primary(view: _View) -> ReadChoice:
-    group = view.group
+def _choose_primary(context: _ReadContext) -> ReadChoice:
+    group = context.group
     target = find_target(group, group.record.primary)
-    if target is None or target.name in view.needs.excluded:
-        return Refuse(reason=Reason.NO_PRIMARY)
+    if target is None or target.name in context.requirements.excluded:
+        return RefuseRead(reason=Reason.NO_PRIMARY)
     state = group.state(target.name)
     if state.role is not Role.PRIMARY or state.term != group.record.term:
-        return Refuse(reason=Reason.NO_PRIMARY)
-    if view.now - state.last_response_at > MAX_REPORT_AGE:
-        return Refuse(reason=Reason.NO_PRIMARY)
-    since = view.needs.fresh_since
-    if since is not None and view.confirmed < since:
-        return Confirm(since=since)
-    return view.read_at(target, replica=False)
+        return RefuseRead(reason=Reason.NO_PRIMARY)
+    if context.now - state.last_response_at > MAX_REPORT_AGE:
+        return RefuseRead(reason=Reason.NO_PRIMARY)
+    since = context.requirements.fresh_since
+    if since is not None and context.confirmed_at < since:
+        return ConfirmPrimary(since=since)
+    return context.send_read(target, replica=False)
 
 
-def _pick(
+def _pick_target(
     group: Group,
     row: TableRow,
-    found: Sequence[Target],
+    candidates: Sequence[Target],
     zone: str,
     draws: Draws,
 ) -> Target:
-    """Pick a site by weight, then the less loaded of two of its targets."""
-    site = _pick_site(row, found, draws.site)
-    near = [target for target in found if target.site == site]
-    first = near.pop(int(draws.first * len(near)))
-    if not near:
+    """Pick a site by weight, then the less loaded of two random targets."""
+    site = _pick_site(row, candidates, draws.site)
+    at_site = [target for target in candidates if target.site == site]
+    first = at_site.pop(int(draws.first * len(at_site)))
+    if not at_site:
         return first
-    second = near[int(draws.second * len(near))]
+    second = at_site[int(draws.second * len(at_site))]
     return min(first, second, key=lambda t: _cost(group, t, zone))
 
 
-def _pick_site(row: TableRow, found: Sequence[Target], draw: float) -> str:
+def _pick_site(
+    row: TableRow, candidates: Sequence[Target], draw: float
+) -> str:
     weights: dict[str, int] = {}
-    for target in found:
+    for target in candidates:
         weights[target.site] = _weight(row, target)
     if not row.read_weights:
-        # Without weights each target counts alike, wherever it is.
-        for target in found:
+        # Without weights all targets are equally likely, whatever their site.
+        for target in candidates:
             weights[target.site] = 0
-        for target in found:
+        for target in candidates:
             weights[target.site] += 1
-    left = draw * sum(weights.values())
+    remaining = draw * sum(weights.values())
     for site, weight in weights.items():
-        left -= weight
-        if left < 0:
+        remaining -= weight
+        if remaining < 0:
             return site
-    return found[-1].site
+    return candidates[-1].site
 
 
 def _weight(row: TableRow, target: Target) -> int:
@@ -412,5 +422,5 @@
 
 def _cost(group: Group, target: Target, zone: str) -> tuple[float, int]:
     state = group.state(target.name)
-    far = target.availability_zone != zone
-    return state.in_flight + far * OTHER_ZONE_COST, -state.applied
+    is_remote = target.availability_zone != zone
+    return state.in_flight + is_remote * OTHER_ZONE_COST, -state.applied
--- a/bamboospring/share_keeper.py
+++ b/bamboospring/share_keeper.py
@@ -1,8 +1,8 @@
 """Keep this holder's shares of its targets' limits up to date.
 
-The decisions are in `bamboospring.shares`; this component tells them what
-the blackboard knows and the pools use, exchanges the messages `shareRequest`
-and `shareRelease` with other VMs and gives the pools their shares.
+`bamboospring.shares` makes the decisions. This component feeds it with the
+facts of the blackboard and the usage of the pools, exchanges the messages
+`shareRequest` and `shareRelease` with other VMs, and sets the pools' shares.
 """
 
 from __future__ import annotations
@@ -29,36 +29,36 @@
 from bamboospring.rendezvous import Placement
 from bamboospring.rendezvous import shard_of
 from bamboospring.shares import GroupShares
-from bamboospring.shares import Reply
+from bamboospring.shares import ShareReply
 from bamboospring.shares import ShareRequest
 from bamboospring.shares import ShareTiming
 from bamboospring.shares import TargetCapacity
 from bamboospring.shares import TargetLimit
 from bamboospring.shares import VmListMonitor
 
-__all__ = ["ShareKeeper", "hash_names", "limits_of", "possible_holders"]
+__all__ = ["ShareKeeper", "hash_names", "target_limits", "possible_holders"]
 
-TICK = 0.25
-ASK_TIMEOUT = 1.0
+TICK_INTERVAL = 0.25
+REQUEST_TIMEOUT = 1.0
 
 
 def possible_holders(
     group: str, vms: Iterable[Vm], listed: frozenset[str]
 ) -> frozenset[str]:
-    """Return the VMs that may be, or shortly have been, a group's holder."""
+    """Return the VMs that may be or recently were a holder of a group."""
     return choose_possible_holders(group, vms, listed)
 
 
-def limits_of(
+def target_limits(
     record: GroupRecord, *, max_slots: int, max_connections: int
 ) -> tuple[TargetLimit, ...]:
-    """Return what each target allows under a row's limits (0: no limit)."""
+    """Return each target's limit, lowered to the row's (0: no limit)."""
     return tuple(
         TargetLimit(
             target=target.name,
-            units=TargetCapacity(
-                slots=_smaller(target.slots, max_slots),
-                connections=_smaller(target.connections, max_connections),
+            capacity=TargetCapacity(
+                slots=_lower_limit(target.slots, max_slots),
+                connections=_lower_limit(target.connections, max_connections),
             ),
         )
         for target in record.targets
@@ -70,12 +70,12 @@
     return xxh64_intdigest("\n".join(names).encode())
 
 
-def _smaller(limit: int, row_limit: int) -> int:
+def _lower_limit(limit: int, row_limit: int) -> int:
     return min(limit, row_limit) if row_limit > 0 else limit
 
 
 class ShareKeeper(BaseComponent):
-    """Gives pools their shares and speaks with the other holders."""
+    """Set the pools' shares and exchange messages with the other holders."""
 
     channel = "*"
 
@@ -100,12 +100,12 @@
         )
         self._groups: dict[str, GroupShares] = {}
         self._targets: dict[str, tuple[Target, ...]] = {}
-        self._known: dict[str, Vm] = {}
+        self._known_vms: dict[str, Vm] = {}
         self._ticked_at = -1e9
         peers.add_handler("shareRequest", self._on_request)
 
     def record_contact(self, revision: int) -> None:
-        """Note that a VM with this revision of the list was heard."""
+        """Record a message of a VM whose list has this revision."""
         self.vm_list_monitor.record_contact(
             now=self._reactor.now(), revision=revision
         )
@@ -119,42 +119,45 @@
     def _on_vms_changed(self) -> None:
         now = self._reactor.now()
         board = self._board
-        self._check_pause(now)
-        self._known.update(board.vms)
+        self._check_isolation(now)
+        self._known_vms.update(board.vms)
         self.vm_list_monitor.update(
             now=now,
             revision=board.vms_revision,
             listed=frozenset(board.vms),
         )
-        kept = self.vm_list_monitor.listed | self.vm_list_monitor.lingering(
-            now
+        retained = (
+            self.vm_list_monitor.listed
+            | self.vm_list_monitor.recently_removed(now)
         )
-        self._known = {
-            name: vm for name, vm in self._known.items() if name in kept
+        self._known_vms = {
+            name: vm
+            for name, vm in self._known_vms.items()
+            if name in retained
         }
-        self._see_all()
+        self._update_all()
 
     @handler("placement_changed")
     def _on_placement_changed(self) -> None:
-        self._see_all()
+        self._update_all()
 
     @handler("group_changed")
     def _on_group_changed(self, name: str) -> None:
-        self._see(name)
+        self._update(name)
 
     @handler("table_changed")
     def _on_table_changed(self, shard: int) -> None:
         for name in list(self._board.groups):
             if shard_of(name) == shard:
-                self._see(name)
+                self._update(name)
 
-    # What is to be kept.
+    # Facts.
 
-    def _see_all(self) -> None:
+    def _update_all(self) -> None:
         for name in set(self._board.groups) | set(self._groups):
-            self._see(name)
+            self._update(name)
 
-    def _see(self, name: str) -> None:
+    def _update(self, name: str) -> None:
         group = self._board.groups.get(name)
         holders = tuple(vm.name for vm in self._placement.holders(name))
         if not holders:
@@ -166,12 +169,12 @@
             shares = self._groups[name] = GroupShares(
                 vm_list_monitor=self.vm_list_monitor
             )
-        self._report_use(name, shares)
+        self._record_usage(name, shares)
         limits = shares.limits
         if group is not None:
             self._targets[name] = group.record.targets
             row = self._board.row(name, shard_of(name))
-            limits = limits_of(
+            limits = target_limits(
                 group.record,
                 max_slots=row.max_slots,
                 max_connections=row.max_connections,
@@ -182,17 +185,17 @@
             peers=self._possible_holders(name),
             limits=limits,
         )
-        self._give(name, shares)
+        self._apply_shares(name, shares)
 
     def _possible_holders(self, name: str) -> frozenset[str]:
-        vms = self._known.values()
+        vms = self._known_vms.values()
         return possible_holders(name, vms, self.vm_list_monitor.listed)
 
-    def _report_use(self, name: str, shares: GroupShares) -> None:
+    def _record_usage(self, name: str, shares: GroupShares) -> None:
         for target in self._targets.get(name, ()):
-            shares.use(target.name, self._pools.pool(target).used)
+            shares.record_usage(target.name, self._pools.pool(target).used)
 
-    def _give(self, name: str, shares: GroupShares) -> None:
+    def _apply_shares(self, name: str, shares: GroupShares) -> None:
         for target in self._targets.get(name, ()):
             pool = self._pools.pool(target)
             allowed = shares.allowed(target.name)
@@ -206,71 +209,73 @@
                     connections=allowed.connections,
                 )
 
-    # Time.
+    # Timers.
 
     def _tick(self) -> None:
         now = self._reactor.now()
-        self._check_pause(now)
+        self._check_isolation(now)
         self.vm_list_monitor.record_contact(
             now=self._board.vms_confirmed_at, revision=self._board.vms_revision
         )
         for name, shares in list(self._groups.items()):
-            self._report_use(name, shares)
-            for ask in shares.tick(now=now):
-                self._ask(name, shares, ask)
-            self._give(name, shares)
-            if shares.idle:
+            self._record_usage(name, shares)
+            for request in shares.tick(now=now):
+                self._send_request(name, shares, request)
+            self._apply_shares(name, shares)
+            if shares.is_idle:
                 del self._groups[name]
                 del self._targets[name]
-        self._reactor.call_later(TICK, self._tick)
+        self._reactor.call_later(TICK_INTERVAL, self._tick)
 
-    def _check_pause(self, now: float) -> None:
+    def _check_isolation(self, now: float) -> None:
         self.vm_list_monitor.tick(now=now)
         if not self.vm_list_monitor.is_isolated:
             return
         logs.log_event("shares_given_up", level=logs.Level.WARNING)
         for name, shares in self._groups.items():
             shares.tick(now=now)
-            self._give(name, shares)
+            self._apply_shares(name, shares)
         for pool in self._pools.all():
             pool.close_all()
 
     # Messages.
 
-    def _ask(self, name: str, shares: GroupShares, ask: ShareRequest) -> None:
-        vm = self._known.get(ask.vm)
+    def _send_request(
+        self, name: str, shares: GroupShares, request: ShareRequest
+    ) -> None:
+        vm = self._known_vms.get(request.vm)
         if vm is None:
             return
 
-        def answered(message: Any) -> None:
+        def on_answer(message: Any) -> None:
             if isinstance(message, PeerLost):
                 return
             reply = _decode_reply(message.shareRelease)
-            self._report_use(name, shares)
-            shares.reply(
-                now=self._reactor.now(), attempt=ask.attempt, reply=reply
+            self._record_usage(name, shares)
+            shares.on_reply(
+                now=self._reactor.now(), attempt=request.attempt, reply=reply
             )
             if self._groups.get(name) is shares:
-                self._give(name, shares)
+                self._apply_shares(name, shares)
 
         message = new_envelope()
         out = message.init("shareRequest")
         out.group = name
         out.vm = self._board.local_vm.name
-        out.vmsRevision = max(0, ask.revision)
-        out.holders = hash_names(ask.holders)
-        self._peers.ask(vm.address, message, ASK_TIMEOUT, answered)
+        out.vmsRevision = max(0, request.revision)
+        out.holders = hash_names(request.holders)
+        self._peers.ask(vm.address, message, REQUEST_TIMEOUT, on_answer)
 
     def _on_request(self, message: Any, send: SendReply) -> None:
-        asked = message.shareRequest
-        name = asked.group
+        request = message.shareRequest
+        name = request.group
         now = self._reactor.now()
-        self._check_pause(now)
+        self._check_isolation(now)
         holders = tuple(vm.name for vm in self._placement.holders(name))
         shares = self._groups.get(name)
         if shares is None:
-            # Nothing is held here; what is promised is to ask before that
-            # changes.
+            # This VM holds nothing of the group. Its reply promises that it
+            # asks the other VMs before it uses a share.
             shares = GroupShares(vm_list_monitor=self.vm_list_monitor)
             shares.update(
                 now=now,
@@ -279,22 +284,22 @@
                 limits=(),
             )
         else:
-            self._report_use(name, shares)
-        agrees = hash_names(holders) == asked.holders
+            self._record_usage(name, shares)
+        agrees = hash_names(holders) == request.holders
         reply = shares.answer(
             now=now,
-            vm=asked.vm,
-            revision=asked.vmsRevision,
+            vm=request.vm,
+            revision=request.vmsRevision,
             holders=shares.holders if agrees else (),
         )
         send(_encode_reply(name, reply))
         if self._groups.get(name) is shares:
-            self._give(name, shares)
-            for ask in shares.ask_back(now=now, vm=asked.vm):
-                self._ask(name, shares, ask)
+            self._apply_shares(name, shares)
+            for follow_up in shares.follow_up_requests(now=now, vm=request.vm):
+                self._send_request(name, shares, follow_up)
 
 
-def _encode_reply(name: str, reply: Reply) -> Any:
+def _encode_reply(name: str, reply: ShareReply) -> Any:
     message = new_envelope()
     out = message.init("shareRelease")
     out.group = name
@@ -304,15 +309,15 @@
     out.informed = reply.informed
     out.growing = reply.growing
     targets = out.init("targets", len(reply.held))
-    for item, (target, units) in zip(targets, sorted(reply.held.items())):
+    for item, (target, capacity) in zip(targets, sorted(reply.held.items())):
         item.target = target
-        item.slots = units.slots
-        item.connections = units.connections
+        item.slots = capacity.slots
+        item.connections = capacity.connections
     return message
 
 
-def _decode_reply(release: Any) -> Reply:
-    return Reply(
+def _decode_reply(release: Any) -> ShareReply:
+    return ShareReply(
         vm=release.vm,
         agrees=release.agrees,
         informed=release.informed,
--- a/bamboospring/shares.py
+++ b/bamboospring/shares.py
@@ -2,23 +2,24 @@
 
 Every holder of a group opens connections to the same targets, so each may use
 only a share of a target's `slots` and `connections`. All holders compute the
-same split from the same ordered list of holders. The hard part is a change of
-that list, because VMs see it at different times: `GroupShares` makes sure
-that the sum of what all VMs use never exceeds the limit meanwhile.
+same split from the same ordered list of holders. VMs see a change of that
+list at different times; `GroupShares` ensures that the sum of what all VMs
+use never exceeds the limit during the change.
 
-The rule: a share shrinks at once and grows only after every VM that may
-still use some of the limit has answered, to a question sent after our own
-last change of holders, that it follows the same list of holders. An answer
-is also a promise to stay within that list's split until its sender moves on,
-and the sender can't grow after that without asking us in turn. What a VM
-still uses above its new share is taken from the growth of the others until
-it has drained.
+A share shrinks immediately. It grows only after every VM that may still use
+part of the limit has agreed to the same list of holders, in reply to a
+request sent after this VM's last change of holders. Such a reply is also a
+promise: its sender stays within the split of that list until its own list
+changes, and after that change it needs this VM's agreement before it can
+grow. What a VM still uses above its new share is subtracted from the growth
+of the others until the VM has released it.
 
-A VM that has all promises lets those that still need its own have it first,
-for a moment: who dies right after it has grown must not leave the others
-waiting for a promise until it is off the platform's list.
+A VM that has all promises delays its growth briefly for the holders that
+still need its own promise. Otherwise a VM that dies right after it has grown
+would leave the others waiting for that promise until the platform removes the
+VM from its list.
 
-Nothing here does I/O or asks for the time.
+This module does no I/O and does not read the clock.
 
 Example: three holders of a target with 20 connections.
 
@@ -35,7 +36,7 @@
     "ShareRequest",
     "GroupShares",
     "VmListMonitor",
-    "Reply",
+    "ShareReply",
     "ShareTiming",
     "TargetLimit",
     "TargetCapacity",
@@ -44,14 +45,16 @@
 ]
 
 NEVER = -1e9
-# Revisions of the platform's list count from 1: nobody has left that list.
+# The platform numbers the revisions of its VM list from 1. No VM can have been
+# removed before the first one.
 FIRST_REVISION = 1
-PROBE_PART = 0.3
-# How long, in seconds, a VM that has all promises waits for others to have
-# its own. Nothing unsafe comes of not waiting, so a short time will do.
-HEAD_START = 1.0
-# A question sent less than this many seconds ago is still on its way.
-UNDER_WAY = 0.05
+PROBE_FRACTION = 0.3
+# Seconds for which a VM that has all promises delays its growth until the
+# others have its own promise. The delay is not needed to stay within the
+# limit, so it can be short.
+PROMISE_HEAD_START = 1.0
+# Seconds for which a request that was sent counts as still in flight.
+REQUEST_IN_FLIGHT_TIME = 0.05
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -61,22 +64,22 @@
     slots: int = 0
     connections: int = 0
 
-    def at_most(self, other: TargetCapacity) -> TargetCapacity:
-        """Return the smaller of the two, each kind by itself."""
+    def minimum(self, other: TargetCapacity) -> TargetCapacity:
+        """Return the elementwise minimum."""
         return TargetCapacity(
             slots=min(self.slots, other.slots),
             connections=min(self.connections, other.connections),
         )
 
-    def at_least(self, other: TargetCapacity) -> TargetCapacity:
-        """Return the larger of the two, each kind by itself."""
+    def maximum(self, other: TargetCapacity) -> TargetCapacity:
+        """Return the elementwise maximum."""
         return TargetCapacity(
             slots=max(self.slots, other.slots),
             connections=max(self.connections, other.connections),
         )
 
     def minus(self, other: TargetCapacity) -> TargetCapacity:
-        """Return what is left, never below zero."""
+        """Return the difference, never below zero."""
         return TargetCapacity(
             slots=max(0, self.slots - other.slots),
             connections=max(0, self.connections - other.connections),
@@ -90,38 +93,38 @@
         )
 
 
-NONE = TargetCapacity()
+NO_CAPACITY = TargetCapacity()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetLimit:
-    """What one target allows over all holders together."""
+    """The limit of one target for all holders together."""
 
     target: str
-    units: TargetCapacity
+    capacity: TargetCapacity
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ShareTiming:
-    """Times of the protocol, in seconds.
-
-    `grace` is how long a VM that has left the platform's list counts as
-    alive. `isolation` is how long a VM keeps its share while it hears from
-    nobody. The lag of the platform's list, `isolation` and the time between
-    ticks together must be shorter than `grace`, so that a VM that is cut off
-    has stopped before the others take its share. With `single_vm` there are
-    never any others.
+    """Durations of the protocol, in seconds.
+
+    For `grace_period` a VM that was removed from the platform's list still
+    counts as running. For `isolation_timeout` a VM keeps its share without a
+    message from the platform or another VM. The lag of the platform's list,
+    `isolation_timeout` and the time between ticks together must be shorter
+    than `grace_period`, so that an isolated VM has stopped before the others
+    take its share. `single_vm` states that there are never other VMs.
     """
 
     grace_period: float = 10.0
     isolation_timeout: float = 5.0
-    retry: float = 0.25
+    retry_interval: float = 0.25
     single_vm: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ShareRequest:
-    """Ask `vm` whether it follows `holders` and what it still uses."""
+    """Ask `vm` whether it agrees to `holders` and what it still uses."""
 
     vm: str
     holders: tuple[str, ...]
@@ -130,12 +133,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Reply:
-    """The answer to `Ask`: `agrees` is the promise described above.
+class ShareReply:
+    """The reply to a `ShareRequest`.
 
-    `informed` says that the sender would know of any VM that has left the
-    list before `revision` and may still use a share. `growing` says that the
-    sender still waits for promises.
+    `agrees` is the promise described at the head of this module. With
+    `informed` the sender knows of every VM that was removed from the list
+    before `revision` and may still use a share. With `growing` it still waits
+    for promises. `held` is what the sender may use or still uses, by target.
     """
 
     vm: str
@@ -147,23 +151,23 @@
 
 
 def split(limit: int, holders: int, rank: int, rotation: int) -> int:
-    """Return the part of `limit` that the holder at `rank` may use.
+    """Return the share of `limit` that the holder at `rank` may use.
 
-    The parts of all ranks sum to `limit`. The remainder goes to different
-    ranks for different `rotation` (the position of the target in its group),
-    so with 2 slots and 3 holders every holder has a slot at some target. A
-    larger limit never gives any rank less; holders that have not yet seen the
-    same limit therefore never exceed the larger one together.
+    The shares of all ranks sum to `limit`. `rotation` is the position of the
+    target in its group; it assigns the remainder to different ranks, so that
+    with 2 slots and 3 holders every holder has a slot at some target. A
+    larger limit never gives any rank less. Holders that see different limits
+    during a change therefore never exceed the larger one together.
     """
     if holders <= 0 or not 0 <= rank < holders:
         return 0
-    part, remainder = divmod(max(0, limit), holders)
+    base, remainder = divmod(max(0, limit), holders)
     position = (rank - rotation) % holders
-    return part + (1 if position < remainder else 0)
+    return base + (1 if position < remainder else 0)
 
 
 def ranks_with_share(limit: int, holders: int, rotation: int) -> list[int]:
-    """Return the ranks of holders that may use any of `limit`."""
+    """Return the ranks of the holders with a nonzero share of `limit`."""
     return [
         rank
         for rank in range(holders)
@@ -173,10 +177,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class VmListMonitor:
-    """What this VM knows of the platform's list, and since when.
+    """This VM's view of the platform's VM list, and its contact with others.
 
-    One for a VM, shared by the shares of all groups. While `cut_off` is set
-    nothing may be used, and busy connections are closed too.
+    Each VM has one, shared by the `GroupShares` of all groups. While
+    `is_isolated` is set, nothing may be used, and even connections in use
+    are closed.
     """
 
     local_vm_name: str
@@ -184,107 +189,110 @@
     revision: int = -1
     listed: frozenset[str] = frozenset()
     is_isolated: bool = False
-    _gone: dict[str, float] = field(default_factory=dict)
-    _informed: bool = False
+    _removed_at: dict[str, float] = field(default_factory=dict)
+    _is_informed: bool = False
     _watching_since: float = NEVER
-    _heard_at: float = NEVER
-    _ticked_at: float = NEVER
+    _last_contact_at: float = NEVER
+    _last_tick_at: float = NEVER
 
     def update(
         self, *, now: float, revision: int, listed: frozenset[str]
     ) -> None:
-        """Take a list of VMs that is not older than the last one."""
+        """Apply a list of VMs that is not older than the last one."""
         if self._watching_since == NEVER:
             self._watching_since = now
-            self._informed = revision == FIRST_REVISION
+            self._is_informed = revision == FIRST_REVISION
         for vm in self.listed - listed:
-            self._gone.setdefault(vm, now)
+            self._removed_at.setdefault(vm, now)
         for vm in listed:
-            self._gone.pop(vm, None)
+            self._removed_at.pop(vm, None)
         self.listed = listed
         self.revision = revision
         self.record_contact(now=now, revision=revision)
 
     def record_contact(self, *, now: float, revision: int) -> None:
-        """Note that the platform or some other VM has been heard.
+        """Record a message from the platform or another VM.
 
-        One with a newer list doesn't count: that list may be without us,
-        and the others' grace time then runs while we go on.
+        A sender with a newer list doesn't count: this VM may be missing on
+        that list. The others' grace period would then pass while this VM
+        keeps its share.
         """
         if revision <= self.revision:
-            self._heard_at = max(self._heard_at, now)
+            self._last_contact_at = max(self._last_contact_at, now)
 
     def tick(self, *, now: float) -> None:
-        """Look for a pause of this process and for a cut; often enough."""
-        self.is_isolated = self._paused(now) or self._isolated(now)
+        """Detect a pause of this process or isolation; call at intervals."""
+        self.is_isolated = self._was_paused(now) or self._is_cut_off(now)
         if self.is_isolated:
-            self._informed = False
+            self._is_informed = False
             self._watching_since = now
 
-    def lingering(self, now: float) -> set[str]:
-        """Return the VMs that have left the list but may still run."""
+    def recently_removed(self, now: float) -> set[str]:
+        """Return the VMs that were removed from the list but may still run."""
         limit = self.timing.grace_period
-        self._gone = {
+        self._removed_at = {
             vm: since
-            for vm, since in self._gone.items()
+            for vm, since in self._removed_at.items()
             if now - since < limit
         }
-        return set(self._gone)
+        return set(self._removed_at)
 
-    def inform(self, reply: Reply) -> None:
-        """Learn from a VM that has watched the list for longer."""
+    def record_peer_informed(self, reply: ShareReply) -> None:
+        """Record the reply of a VM that has watched the list for longer."""
         if reply.informed and reply.revision >= self.revision:
-            self._informed = True
+            self._is_informed = True
 
     def is_informed(self, now: float) -> bool:
-        """Tell whether any VM that may still run would be known here."""
-        # A new process has not seen which VMs left the list shortly before.
-        # Without this check it would take the share of one that still runs.
-        # One VM that watched for long enough, and that agreed, is enough:
-        # nobody agrees while such a VM may still be running.
+        """Return whether this VM knows all VMs that may still run."""
+        # A new process has not seen which VMs were removed from the list
+        # shortly before it started. Without this check it would take the
+        # share of a removed VM that still runs. The agreement of one VM that
+        # has watched the list for the grace period is enough, because no VM
+        # agrees while it knows a removed VM that may still run.
         watched = now - self._watching_since
         if (
             self._watching_since != NEVER
             and watched >= self.timing.grace_period
         ):
-            self._informed = True
-        return self._informed
+            self._is_informed = True
+        return self._is_informed
 
-    def is_lonely(self, now: float) -> bool:
-        """Tell whether it is time to show that others can be heard."""
+    def should_probe(self, now: float) -> bool:
+        """Return whether to contact others to show that this VM runs."""
         return (
-            now - self._heard_at > self.timing.isolation_timeout * PROBE_PART
+            now - self._last_contact_at
+            > self.timing.isolation_timeout * PROBE_FRACTION
         )
 
-    def _paused(self, now: float) -> bool:
-        # A process that was stopped for longer than the others wait for it
-        # wakes with a share that may be used elsewhere by now. The symptom
-        # would be refused connections at the target. Starting anew, as after
-        # a restart, is enough because growth then needs all promises again.
-        paused = now - self._ticked_at
-        known = self._ticked_at != NEVER
-        self._ticked_at = now
-        return known and paused > self.timing.isolation_timeout
-
-    def _isolated(self, now: float) -> bool:
-        # A VM that is cut off can't see that it has left the list. It stops
-        # before `grace` has passed for the others. An outage of the platform
-        # alone doesn't come here, because other VMs are still heard.
-        # A VM that is alone on its list hears nobody in an outage either. It
-        # stops as well: it may have been replaced, and its successor takes
-        # the whole limit. A deployment that has no second VM can say so.
-        if self._heard_at == NEVER or self.timing.single_vm:
+    def _was_paused(self, now: float) -> bool:
+        # If a process was suspended for longer than the others wait for it,
+        # another VM may already use its share when it resumes. The target
+        # would then refuse connections. It is enough to start over as after a
+        # restart, because growth then needs all promises again.
+        since_last_tick = now - self._last_tick_at
+        has_ticked = self._last_tick_at != NEVER
+        self._last_tick_at = now
+        return has_ticked and since_last_tick > self.timing.isolation_timeout
+
+    def _is_cut_off(self, now: float) -> bool:
+        # An isolated VM can't see that it was removed from the list. It stops
+        # before `grace_period` has passed for the others. An outage of only
+        # the platform has no effect, because messages of other VMs arrive.
+        # A VM that is alone on its list has no contact in such an outage. It
+        # stops as well, because it may have been replaced by a VM that takes
+        # the whole limit. A deployment with only one VM sets `single_vm`.
+        if self._last_contact_at == NEVER or self.timing.single_vm:
             return False
-        return now - self._heard_at > self.timing.isolation_timeout
+        return now - self._last_contact_at > self.timing.isolation_timeout
 
 
 @dataclass(slots=True, kw_only=True)
 class GroupShares:
-    """What this VM may use of each target of one group.
+    """The share of this VM of each target of one group.
 
-    The adapter feeds `see`, `answer`, `reply` and `tick`, sends the `Ask`s
-    that come back, and reads `allowed`. It reports what is in use by `use`,
-    which keeps connections counted until they are really closed.
+    The adapter calls `update`, `answer`, `on_reply` and `tick`, sends the
+    returned `ShareRequest`s and reads `allowed`. It reports usage with
+    `record_usage`, so that connections count until they are closed.
     """
 
     vm_list_monitor: VmListMonitor
@@ -294,29 +302,29 @@
     _allowed: dict[str, TargetCapacity] = field(default_factory=dict)
     _used: dict[str, TargetCapacity] = field(default_factory=dict)
     _peers: frozenset[str] = frozenset()
-    _replies: dict[str, Reply] = field(default_factory=dict)
-    _promised: set[str] = field(default_factory=set)
-    _complete_at: float = NEVER
-    _asked_at: float = NEVER
+    _replies: dict[str, ShareReply] = field(default_factory=dict)
+    _promised_to: set[str] = field(default_factory=set)
+    _all_replied_at: float = NEVER
+    _requested_at: float = NEVER
 
     def allowed(self, target: str) -> TargetCapacity:
-        """Return what may be used of a target now."""
-        return self._allowed.get(target, NONE)
+        """Return what this VM may use of a target."""
+        return self._allowed.get(target, NO_CAPACITY)
 
-    def use(self, target: str, units: TargetCapacity) -> None:
-        """Record what is in use: running statements, open connections."""
-        self._used[target] = units
+    def record_usage(self, target: str, capacity: TargetCapacity) -> None:
+        """Record the running statements and open connections at a target."""
+        self._used[target] = capacity
 
     def held(self, target: str) -> TargetCapacity:
-        """Return what others must count as taken by this VM."""
-        used = self._used.get(target, NONE)
-        return self.allowed(target).at_least(used)
+        """Return what other VMs must count as taken by this VM."""
+        used = self._used.get(target, NO_CAPACITY)
+        return self.allowed(target).maximum(used)
 
     @property
-    def idle(self) -> bool:
-        """Tell whether nothing is held and nothing is to be had."""
+    def is_idle(self) -> bool:
+        """Return whether this VM is no holder and holds nothing."""
         return self.vm_list_monitor.local_vm_name not in self.holders and all(
-            self.held(target) == NONE for target in self._used
+            self.held(target) == NO_CAPACITY for target in self._used
         )
 
     def update(
@@ -327,83 +335,90 @@
         peers: frozenset[str],
         limits: tuple[TargetLimit, ...],
     ) -> None:
-        """Take newer holders or newer limits.
+        """Apply newer holders or limits.
 
         `holders` are the group's holders in rank order. `peers` are all VMs
-        on the list, or just gone from it, that may be or may have been a
-        holder of the group; too many cost messages, too few could exceed a
-        limit.
+        that may be or may have been a holder of the group, both on the list
+        and recently removed from it. Extra peers cost messages; missing ones
+        could lead to more usage than a limit allows.
         """
         self._peers = peers - {self.vm_list_monitor.local_vm_name}
         self.limits = limits
         if holders != self.holders:
             self.holders = holders
-            self._forget()
+            self._discard_promises()
         self._shrink()
         self._grow(now)
 
     def answer(
         self, *, now: float, vm: str, revision: int, holders: tuple[str, ...]
-    ) -> Reply:
-        """Answer another VM's `Ask`; `revision` is that of its list.
+    ) -> ShareReply:
+        """Answer the `ShareRequest` of `vm`, whose list has `revision`.
 
-        Nothing is promised while a VM that has just left the list may still
-        use a share: the asker may be new and not know of it.
+        The reply does not agree while another VM that was recently removed
+        from the list may still use a share: the sender may have started too
+        recently to know of it.
         """
         self.vm_list_monitor.record_contact(now=now, revision=revision)
-        gone = self._peers & self.vm_list_monitor.lingering(now)
+        removed = self._peers & self.vm_list_monitor.recently_removed(now)
         targets = {limit.target for limit in self.limits} | set(self._used)
-        reply = Reply(
+        reply = ShareReply(
             vm=self.vm_list_monitor.local_vm_name,
-            agrees=holders == self.holders and not gone - {vm},
+            agrees=holders == self.holders and not removed - {vm},
             informed=self.vm_list_monitor.is_informed(now),
-            growing=self._wants_growth(),
+            growing=self._needs_growth(),
             revision=self.vm_list_monitor.revision,
             held={target: self.held(target) for target in targets},
         )
         if reply.agrees:
-            self._promised.add(vm)
+            self._promised_to.add(vm)
             self._grow(now)
         return reply
 
-    def ask_back(self, *, now: float, vm: str) -> list[ShareRequest]:
-        """Return the questions to send when a VM has just asked, if any.
+    def follow_up_requests(self, *, now: float, vm: str) -> list[ShareRequest]:
+        """Return the requests to send after a request from `vm`, if any.
 
-        It is alive and has the newest list; waiting for the next `tick`
-        would only leave more time in which it may die.
+        The sender is alive and has the newest list. Waiting for the next
+        `tick` would leave it more time to fail before it replies.
         """
-        if not self._wants_growth() or vm in self._replies:
+        if not self._needs_growth() or vm in self._replies:
             return []
-        if now - self._asked_at < UNDER_WAY or vm not in self._may_use(now):
+        if (
+            now - self._requested_at < REQUEST_IN_FLIGHT_TIME
+            or vm not in self._potential_users(now)
+        ):
             return []
-        return self._ask_all(now)
+        return self._requests_to_send(now)
 
-    def reply(self, *, now: float, attempt: int, reply: Reply) -> None:
-        """Take the answer to an `Ask`; late answers count for nothing."""
+    def on_reply(self, *, now: float, attempt: int, reply: ShareReply) -> None:
+        """Handle the reply to a `ShareRequest`; ignore outdated replies."""
         self.vm_list_monitor.record_contact(now=now, revision=reply.revision)
         if attempt != self.attempt:
             return
         if reply.agrees:
             self._replies[reply.vm] = reply
-            self.vm_list_monitor.inform(reply)
+            self.vm_list_monitor.record_peer_informed(reply)
         else:
             self._replies.pop(reply.vm, None)
         self._grow(now)
 
     def tick(self, *, now: float) -> list[ShareRequest]:
-        """Return the questions to send now; call it after the watch's."""
+        """Return the requests to send; call after `VmListMonitor.tick`."""
         if self.vm_list_monitor.is_isolated:
             self._allowed.clear()
-            self._forget()
+            self._discard_promises()
         self._grow(now)
-        if now - self._asked_at < self.vm_list_monitor.timing.retry:
+        if (
+            now - self._requested_at
+            < self.vm_list_monitor.timing.retry_interval
+        ):
             return []
-        return self._ask_all(now)
+        return self._requests_to_send(now)
 
-    def _ask_all(self, now: float) -> list[ShareRequest]:
-        asked = self._to_ask(now)
-        if asked:
-            self._asked_at = now
+    def _requests_to_send(self, now: float) -> list[ShareRequest]:
+        vms = self._vms_to_ask(now)
+        if vms:
+            self._requested_at = now
         return [
             ShareRequest(
                 vm=vm,
@@ -411,62 +426,65 @@
                 revision=self.vm_list_monitor.revision,
                 attempt=self.attempt,
             )
-            for vm in sorted(asked)
+            for vm in sorted(vms)
         ]
 
-    def _to_ask(self, now: float) -> set[str]:
-        others = self._may_use(now)
-        if self._wants_growth():
+    def _vms_to_ask(self, now: float) -> set[str]:
+        others = self._potential_users(now)
+        if self._needs_growth():
             informed = self.vm_list_monitor.is_informed(now)
             return {
-                vm for vm in others if not informed or not self._settled(vm)
+                vm
+                for vm in others
+                if not informed or not self._has_released_excess(vm)
             }
-        # With the platform silent, a question to the other holders shows
-        # that this VM isn't cut off from everything.
-        if not self.vm_list_monitor.is_lonely(now):
+        # When the platform does not respond, a reply from another holder
+        # shows that this VM is not isolated.
+        if not self.vm_list_monitor.should_probe(now):
             return set()
         return others & set(self.holders) or others
 
-    def _forget(self) -> None:
-        # Answers to questions from before a change promise nothing for the
-        # time after it: their sender may have grown since.
+    def _discard_promises(self) -> None:
+        # Replies to requests from before a change are no promise for the time
+        # after it, because their senders may have grown since.
         self.attempt += 1
         self._replies.clear()
-        self._promised.clear()
-        self._complete_at = NEVER
-        self._asked_at = NEVER
-
-    def _may_use(self, now: float) -> set[str]:
-        running = self.vm_list_monitor.listed | self.vm_list_monitor.lingering(
-            now
+        self._promised_to.clear()
+        self._all_replied_at = NEVER
+        self._requested_at = NEVER
+
+    def _potential_users(self, now: float) -> set[str]:
+        running = (
+            self.vm_list_monitor.listed
+            | self.vm_list_monitor.recently_removed(now)
         )
         return set(self._peers & running)
 
     def _share(self, vm: str, position: int) -> TargetCapacity:
         if vm not in self.holders:
-            return NONE
+            return NO_CAPACITY
         rank = self.holders.index(vm)
         count = len(self.holders)
-        units = self.limits[position].units
+        capacity = self.limits[position].capacity
         return TargetCapacity(
-            slots=split(units.slots, count, rank, position),
-            connections=split(units.connections, count, rank, position),
+            slots=split(capacity.slots, count, rank, position),
+            connections=split(capacity.connections, count, rank, position),
         )
 
     def _excess(self, vm: str, position: int) -> TargetCapacity:
         reply = self._replies.get(vm)
         if reply is None:
-            return NONE
-        held = reply.held.get(self.limits[position].target, NONE)
+            return NO_CAPACITY
+        held = reply.held.get(self.limits[position].target, NO_CAPACITY)
         return held.minus(self._share(vm, position))
 
-    def _settled(self, vm: str) -> bool:
+    def _has_released_excess(self, vm: str) -> bool:
         return vm in self._replies and all(
-            self._excess(vm, position) == NONE
+            self._excess(vm, position) == NO_CAPACITY
             for position in range(len(self.limits))
         )
 
-    def _wants_growth(self) -> bool:
+    def _needs_growth(self) -> bool:
         return any(
             self.allowed(limit.target)
             != self._share(self.vm_list_monitor.local_vm_name, position)
@@ -475,41 +493,42 @@
 
     def _shrink(self) -> None:
         self._allowed = {
-            limit.target: self.allowed(limit.target).at_most(
+            limit.target: self.allowed(limit.target).minimum(
                 self._share(self.vm_list_monitor.local_vm_name, position)
             )
             for position, limit in enumerate(self.limits)
         }
 
     def _grow(self, now: float) -> None:
-        if not self._wants_growth() or not self.vm_list_monitor.is_informed(
+        if not self._needs_growth() or not self.vm_list_monitor.is_informed(
             now
         ):
             return
-        others = self._may_use(now)
+        others = self._potential_users(now)
         if not others <= self._replies.keys():
-            self._complete_at = NEVER
+            self._all_replied_at = NEVER
             return
-        if self._lets_others_first(others, now):
+        if self._waits_for_others(others, now):
             return
         for position, limit in enumerate(self.limits):
             free = self._share(self.vm_list_monitor.local_vm_name, position)
             for vm in others:
                 free = free.minus(self._excess(vm, position))
-            grown = self.allowed(limit.target).at_least(free)
+            grown = self.allowed(limit.target).maximum(free)
             self._allowed[limit.target] = grown
 
-    def _lets_others_first(self, others: set[str], now: float) -> bool:
-        # A holder that grows and dies before it has promised anything leaves
-        # the others without a share until the platform's list drops it and
-        # the grace time ends; callers are refused with `not_holder` for that
-        # long. Those that need our promise get it before we serve; the limit
-        # in time is for those that can't reach us.
-        if self._complete_at == NEVER:
-            self._complete_at = now
-        if now - self._complete_at >= HEAD_START:
+    def _waits_for_others(self, others: set[str], now: float) -> bool:
+        # A holder that grows and dies before it has sent its promise leaves
+        # the others without a share until the platform removes it from its
+        # list and the grace period ends. Callers are refused with
+        # `not_holder` for that long. So holders that need this VM's promise
+        # get it before this VM grows. The delay is limited because some of
+        # them may be unable to reach this VM.
+        if self._all_replied_at == NEVER:
+            self._all_replied_at = now
+        if now - self._all_replied_at >= PROMISE_HEAD_START:
             return False
         return any(
-            self._replies[vm].growing and vm not in self._promised
+            self._replies[vm].growing and vm not in self._promised_to
             for vm in others & set(self.holders)
         )
--- a/bamboospring/statement_log.py
+++ b/bamboospring/statement_log.py
@@ -1,9 +1,9 @@
-"""Log what became of a statement, with its correlation id.
+"""Log the outcome of a statement with its correlation id.
 
 The entry logs `answered` and the holder `ran`, both with the same `trace`, so
-that one statement can be followed from VM to VM. Only an unknown outcome is
-logged at level info; all others are too many and need level debug, which can
-be set on a running process.
+that a statement can be followed across VMs. Only unknown outcomes are logged
+at level info. The others are too many for it and are logged at level debug,
+which can be set on a running process.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def log_outcome(event: str, stmt: Statement, outcome: Outcome) -> None:
-    """Log an outcome with why it is so."""
+    """Log an outcome with its details or reason."""
     unknown = isinstance(outcome, Unknown)
     level = logs.Level.INFO if unknown else logs.Level.DEBUG
     if not logs.enabled(level):
--- a/bamboospring/statement_server.py
+++ b/bamboospring/statement_server.py
@@ -1,4 +1,4 @@
-"""Take statements that entries on other VMs forward to this holder."""
+"""Accept statements that entries on other VMs forward to this holder."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StatementServer:
-    """Answer each forwarded statement with its outcome."""
+    """Run each forwarded statement and reply with its outcome."""
 
     def __init__(
         self, *, reactor: Reactor, peers: Peers, holder: Holder
@@ -28,7 +28,7 @@
     def _on_statement(self, message: Any, reply: Reply) -> None:
         stmt = decode_statement(message, self._reactor.now())
 
-        def done(outcome: Outcome) -> None:
+        def on_complete(outcome: Outcome) -> None:
             reply(encode_outcome(outcome))
 
-        self._holder.run(stmt, done)
+        self._holder.run(stmt, on_complete)
--- a/bamboospring/statements.py
+++ b/bamboospring/statements.py
@@ -1,4 +1,4 @@
-"""A caller's statement on its way from entry to holder."""
+"""A caller's statement, as passed from the entry to a holder."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StepKind(IntEnum):
-    """Where a statement stands in a transaction."""
+    """The kind of a statement with regard to transactions."""
 
     AUTOCOMMIT = 0
     BEGIN = 1
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
 class Position:
-    """A place in a group's log. Index alone does not order two terms."""
+    """A position in a group's log, ordered by term and then by index."""
 
     term: int = 0
     index: int = 0
@@ -28,13 +28,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Statement:
-    """What a caller wants run, checked and with its deadline.
-
-    Not frozen, which doubles what it costs to make one; nobody changes it.
-    `params` is a JSON array as received. `staleness` is the age in seconds
-    that the caller accepts, None if it states none. `deadline` is monotonic
-    time of this process in seconds. `settle` lets a read go to the primary at
-    a holder without a share of the replicas that would do.
+    """A validated statement of a caller.
+
+    Instances are not modified. The class is not frozen only because that
+    doubles the cost of creating an instance. `params` is a JSON array as
+    received. `staleness` is the accepted age in seconds, None if the caller
+    sets none. `deadline` is in seconds of this process's monotonic clock.
+    `allow_primary` lets a holder without a share of a suitable replica read
+    at the primary.
     """
 
     group: str
@@ -49,4 +50,4 @@
     token: Position = Position()
     staleness: float | None = None
     trace: str = ""
-    settle: bool = False
+    allow_primary: bool = False
--- a/bamboospring/target_api.py
+++ b/bamboospring/target_api.py
@@ -1,4 +1,4 @@
-"""What is sent to a target and what it answers, as typed values."""
+"""Encode requests to a target and decode its answers as typed values."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ProbeResult:
-    """What a target says of itself."""
+    """A target's report of its own state."""
 
     target: str
     term: int
@@ -43,7 +43,7 @@
     term_start: int
     leaving: bool
     primary: str = ""
-    # Opaque: the same as long as nothing of the account has changed.
+    # Opaque; unchanged as long as no other field of the report changes.
     state_tag: str = ""
 
 
@@ -69,11 +69,16 @@
 
 
 def encode_execute(
-    stmt: Statement, *, number: int, term: int, min_index: int, left: float
+    stmt: Statement,
+    *,
+    request_id: int,
+    term: int,
+    min_index: int,
+    remaining: float,
 ) -> bytes:
-    """Return the JSON body of `POST /execute`; `left` is in seconds."""
+    """Return the JSON body of `POST /execute`; `remaining` is in seconds."""
     body = {
-        "id": number,
+        "id": request_id,
         "term": term,
         "kind": "write" if stmt.write else "read",
         "sql": stmt.sql or None,
@@ -82,13 +87,13 @@
         "key": stmt.key or None,
         "caller": stmt.caller,
         "min_index": min_index,
-        "deadline_ms": max(1, int(left * 1000)),
+        "deadline_ms": max(1, int(remaining * 1000)),
     }
     return orjson.dumps(body)
 
 
 def decode_answer(body: bytes) -> TargetAnswer | None:
-    """Read a target's answer; None if it is not one."""
+    """Decode a target's answer; return None if it is malformed."""
     try:
         raw = orjson.loads(body)
         return TargetAnswer(
@@ -114,7 +119,7 @@
 
 def _checked_list(value: Any) -> list[Any]:
     if value is not None and not isinstance(value, list):
-        raise TypeError("not a list")
+        raise TypeError("value is not a list")
     return value or []
 
 
@@ -123,7 +128,7 @@
 
 
 def decode_probe(body: bytes) -> ProbeResult | None:
-    """Read a target's account of itself; None if it is not one."""
+    """Decode a target's report; return None if it is malformed."""
     try:
         raw = orjson.loads(body)
         return ProbeResult(
--- a/bamboospring/target_link.py
+++ b/bamboospring/target_link.py
@@ -1,8 +1,9 @@
-"""The port through which a pool opens and checks connections to a target.
+"""The interface through which a pool opens and checks target connections.
 
-A pool decides how many connections there are and who gets one. What a
-connection is, and how it greets, is its dialer's business: `HttpDialer` for
-this project's own targets, another one for each other kind of target.
+A pool decides how many connections there are and which statement gets one. A
+dialer implements the protocol of the connection and its handshake:
+`HttpDialer` for this project's own targets, another dialer for each other kind
+of target.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 
 
 class TargetLink(Protocol):
-    """A connection to a target, as far as a pool needs it."""
+    """A connection to a target, with the methods that a pool uses."""
 
     @property
     def usable(self) -> bool:
-        """Tell whether it is open with nothing under way."""
+        """Return whether it is open and no request is in flight on it."""
 
     def close(self) -> None:
-        """Close it; what is under way is lost."""
+        """Close it; a request in flight is lost."""
 
 
 LinkT = TypeVar("LinkT", bound=TargetLink)
@@ -40,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Opened(Generic[LinkT]):
-    """A new connection; `number` is what the target calls it, 0 if nothing."""
+    """A new connection; `connection_id` is its id at the target, or 0."""
 
     link: LinkT
-    number: int = 0
+    connection_id: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OpenFailed:
-    """No connection could be had.
+    """No connection could be opened.
 
-    `full` says that the target is well and has as many as it allows, `gone`
-    that another target answered at the address, `refused` that no process
-    listens there.
+    With `full` the target is healthy but at its connection limit. With
+    `wrong_target` another target answered at the address. With `refused` no
+    process listens there.
     """
 
     full: bool = False
@@ -61,7 +62,7 @@
 
 
 class Health(Enum):
-    """What the check of an idle connection showed."""
+    """The result of the check of an idle connection."""
 
     ALIVE = "alive"
     CLOSED = "closed"
@@ -69,24 +70,27 @@
 
 
 class Dialer(Protocol[LinkT]):
-    """Opens, checks and ends the connections of one pool."""
+    """Open, check and terminate the connections of one pool."""
 
     def open(
         self,
         team: str,
         timeout: float,
-        on_done: Callable[[Opened[LinkT] | OpenFailed], None],
+        on_complete: Callable[[Opened[LinkT] | OpenFailed], None],
     ) -> None:
         """Open a connection for a team within `timeout` seconds.
 
-        The `team` is empty for statements of the system itself and where
-        callers have none.
+        `team` is empty for statements of the system itself and where callers
+        have no teams.
         """
 
     def check(
-        self, link: LinkT, timeout: float, on_done: Callable[[Health], None]
+        self,
+        link: LinkT,
+        timeout: float,
+        on_complete: Callable[[Health], None],
     ) -> None:
-        """Tell within `timeout` seconds whether an idle one still works."""
+        """Check within `timeout` seconds whether an idle one still works."""
 
-    def end(self, number: int) -> None:
-        """Have the target end a connection that was given up here."""
+    def end(self, connection_id: int) -> None:
+        """Have the target end a connection that this side has closed."""
