--- a/bamboospring/tokens.py
+++ b/bamboospring/tokens.py
@@ -1,16 +1,16 @@
-"""Session tokens and transaction handles: signed, and good at any entry.
-
-A session token says up to where a caller's session has come in each group's
-log. It is all there is of a session: no VM keeps any, so a caller may take
-it to any entry. The signature is a shortened HMAC-SHA256 under one of the
-fleet's keys; the first key signs, all of them verify, so a key is changed by
-adding the new one everywhere, putting it first, and removing the old one
-when the tokens signed with it are of no more use.
-
-Only acknowledged writes move a session on. If reads did as well, each read
-at the primary would bind the next one to what that primary had just written
-for others, and under replication lag no session would ever find a replica
-that is far enough.
+"""Signed session tokens and transaction handles, valid at every entry.
+
+A session token holds the position of a caller's session in each group's log.
+It is the whole state of a session: no VM stores any, so a caller may use the
+token at any entry. The signature is a truncated HMAC-SHA256 with one of the
+fleet's keys. The first key signs and all keys verify. To rotate a key, add
+the new one on all VMs, then move it to the first place, then remove the old
+one when the tokens signed with it are no longer needed.
+
+Only acknowledged writes advance a session. If reads did so too, each read at
+the primary would require the next one to see what the primary had just
+written for other callers. Under replication lag, no replica would ever be
+recent enough for any session.
 """
 
 from __future__ import annotations
@@ -36,24 +36,24 @@
     "TransactionHandle",
 ]
 
-MAX_TOKEN = 16384
-# A session that has written to more groups is refused rather than shortened:
-# a dropped position would be a write that the session no longer sees.
+MAX_TOKEN_LENGTH = 16384
+# A write to a further group is refused. Dropping a position instead would mean
+# that the session may no longer see its own write.
 MAX_GROUPS = 100
 MAX_CALLER = 128
 MAC_BYTES = 16
-HMAC_BLOCK = 64
+HMAC_BLOCK_BYTES = 64
 TO_URL = bytes.maketrans(b"+/", b"-_")
 FROM_URL = bytes.maketrans(b"-_", b"+/")
-# What is signed starts with what it is, so that no handle passes for a
-# token and no token for a handle.
-SESSION = "s1"
-TRANSACTION = "t1"
+# The signed fields include the kind, so that a handle is not accepted as a
+# token or a token as a handle.
+SESSION_KIND = "s1"
+TRANSACTION_KIND = "t1"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SigningKey:
-    """A signing key with the id that tokens name it by."""
+    """A signing key and its id, which is part of each token."""
 
     id: str
     secret: bytes
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SessionPositions:
-    """A caller's session: its newest acknowledged write in each group.
+    """A session: the position of its last acknowledged write in each group.
 
-    `token` is the text that it was read from and `signer` what signed that,
-    so that a session that has not moved need not be signed again.
+    `token` is the text that it was decoded from and `signer` the signer of
+    that text, so that an unchanged session need not be signed again.
     """
 
     caller: str
@@ -73,35 +73,35 @@
     signer: object = field(default=None, compare=False, repr=False)
 
     def position(self, group: str) -> Position:
-        """Return the position in a group; (0, 0) where nothing was written."""
+        """Return the position in a group; (0, 0) if nothing was written."""
         return self.positions.get(group, Position())
 
-    def has_room(self, group: str) -> bool:
-        """Tell whether a write in this group could still be noted."""
+    def can_record(self, group: str) -> bool:
+        """Return whether a write in this group can be recorded."""
         return group in self.positions or len(self.positions) < MAX_GROUPS
 
-    def moved(self, group: str, position: Position) -> SessionPositions:
-        """Return the session after a write; it never moves back."""
+    def advanced(self, group: str, position: Position) -> SessionPositions:
+        """Return the session after a write; positions never decrease."""
         if position <= self.position(group):
             return self
         positions = {**self.positions, group: position}
         return SessionPositions(caller=self.caller, positions=positions)
 
     def merged(self, other: SessionPositions) -> SessionPositions:
-        """Return a session that has seen what either has seen."""
+        """Return a session with the later position of each group."""
         session = self
         for group, position in other.positions.items():
-            session = session.moved(group, position)
+            session = session.advanced(group, position)
         return session
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TransactionHandle:
-    """Where an open transaction lives, and how far it has come.
+    """The holder of an open transaction and the number of its next step.
 
-    `number` is drawn at random by the holder, so that a holder that was
-    restarted never takes an old handle for one of its own. `step` counts the
-    answers given: whoever comes with an older one has missed an answer.
+    The holder chooses `number` at random, so that a restarted holder never
+    accepts an old handle as one of its own. `step` counts the answers sent: a
+    caller with a lower value has missed an answer.
     """
 
     vm: str
@@ -113,13 +113,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InvalidToken:
-    """A text that is not one of our tokens, with what is wrong."""
+    """A text that is no valid token, and the reason."""
 
     message: str
 
 
 class TokenCodec:
-    """Signs and verifies with the fleet's keys; the first one signs."""
+    """Sign and verify with the fleet's keys; the first one signs."""
 
     def __init__(self, *, keys: Sequence[SigningKey]) -> None:
         self.set_keys(keys)
@@ -127,7 +127,7 @@
     def set_keys(self, keys: Sequence[SigningKey]) -> None:
         """Sign with the first of these keys and verify with all of them."""
         if not keys:
-            raise ValueError("at least one token key is needed")
+            raise ValueError("at least one token key is required")
         self._keys = {key.id: _Signer(key) for key in keys}
         self._signer = self._keys[keys[0].id]
 
@@ -139,11 +139,11 @@
             [group, position.term, position.index]
             for group, position in session.positions.items()
         ]
-        return self._sign([SESSION, session.caller, positions])
+        return self._sign([SESSION_KIND, session.caller, positions])
 
     def decode(self, text: str) -> SessionPositions | InvalidToken:
-        """Return the session of a token, or what is wrong with it."""
-        fields = self._verify(text, SESSION)
+        """Return the session of a token, or why the token is invalid."""
+        fields = self._verify(text, SESSION_KIND)
         if isinstance(fields, InvalidToken):
             return fields
         key, _, caller, positions = fields
@@ -158,10 +158,10 @@
         )
 
     def encode_transaction(self, handle: TransactionHandle) -> str:
-        """Return the handle as a caller carries it."""
+        """Return the signed text of a handle."""
         return self._sign(
             [
-                TRANSACTION,
+                TRANSACTION_KIND,
                 handle.vm,
                 handle.group,
                 handle.caller,
@@ -173,8 +173,8 @@
     def decode_transaction(
         self, text: str
     ) -> TransactionHandle | InvalidToken:
-        """Return the handle that a caller brings back."""
-        fields = self._verify(text, TRANSACTION)
+        """Return the handle of a signed text, or why the text is invalid."""
+        fields = self._verify(text, TRANSACTION_KIND)
         if isinstance(fields, InvalidToken):
             return fields
         _, _, vm, group, caller, number, step = fields
@@ -185,26 +185,26 @@
     def _sign(self, fields: list[Any]) -> str:
         signer = self._signer
         body = orjson.dumps([signer.id, *fields])
-        return _to_text(body + signer.mac(body))
+        return _encode_text(body + signer.mac(body))
 
     def _verify(self, text: str, kind: str) -> list[Any] | InvalidToken:
-        """Return all fields of a text, from the key's id on."""
-        if len(text) > MAX_TOKEN:
-            return InvalidToken(message="too long")
+        """Return all signed fields of a text, starting with the key's id."""
+        if len(text) > MAX_TOKEN_LENGTH:
+            return InvalidToken(message="the token is too long")
         try:
-            raw = _to_bytes(text)
+            raw = _decode_text(text)
         except (ValueError, binascii.Error):
             return InvalidToken(message="not a token")
         body, mac = raw[:-MAC_BYTES], raw[-MAC_BYTES:]
-        fields = _fields_of(body)
+        fields = _decode_fields(body)
         signer = self._signer_of(fields)
         if signer is None:
-            return InvalidToken(message="signed with a key not known here")
-        # What is inside is trusted only after this line.
+            return InvalidToken(message="signed with an unknown key")
+        # The fields are not trusted before this check.
         if not hmac.compare_digest(signer.mac(body), mac):
             return InvalidToken(message="wrong signature")
         if fields[1] != kind:
-            return InvalidToken(message="not meant for this use")
+            return InvalidToken(message="wrong kind of token")
         return fields
 
     def _signer_of(self, fields: list[Any]) -> _Signer | None:
@@ -213,20 +213,20 @@
 
 
 class _Signer:
-    """Shortened HMAC-SHA256 (RFC 2104) under one key.
+    """Truncated HMAC-SHA256 (RFC 2104) with one key.
 
-    The state after the key's block is kept and copied: the library's
-    `hmac.digest` looks its algorithm up and hashes both blocks of the key
-    again each time, which was 9 us a call in a process under load.
+    The hash state after the key's block is kept and copied for each call. The
+    library's `hmac.digest` looks up the algorithm and hashes both key blocks
+    in each call, which takes 9 us a call in a process under load.
     """
 
     __slots__ = ("_inner", "_outer", "id")
 
     def __init__(self, key: SigningKey) -> None:
         secret = key.secret
-        if len(secret) > HMAC_BLOCK:
+        if len(secret) > HMAC_BLOCK_BYTES:
             secret = hashlib.sha256(secret).digest()
-        block = secret.ljust(HMAC_BLOCK, b"\0")
+        block = secret.ljust(HMAC_BLOCK_BYTES, b"\0")
         self.id = key.id
         self._inner = hashlib.sha256(bytes(byte ^ 0x36 for byte in block))
         self._outer = hashlib.sha256(bytes(byte ^ 0x5C for byte in block))
@@ -240,7 +240,7 @@
         return outer.digest()[:MAC_BYTES]
 
 
-def _fields_of(body: bytes) -> list[Any]:
+def _decode_fields(body: bytes) -> list[Any]:
     try:
         fields = orjson.loads(body)
     except orjson.JSONDecodeError:
@@ -248,12 +248,12 @@
     return fields if isinstance(fields, list) else []
 
 
-def _to_text(raw: bytes) -> str:
+def _encode_text(raw: bytes) -> str:
     data = binascii.b2a_base64(raw, newline=False)
     return data.translate(TO_URL).rstrip(b"=").decode()
 
 
-def _to_bytes(text: str) -> bytes:
+def _decode_text(text: str) -> bytes:
     data = text.encode("ascii").translate(FROM_URL)
     return binascii.a2b_base64(
         data + b"=" * (-len(data) % 4), strict_mode=True
--- a/bamboospring/transactions.py
+++ b/bamboospring/transactions.py
@@ -1,12 +1,12 @@
-"""Which transactions are open here, and what becomes of each step.
+"""Track the open transactions of a holder and decide about each step.
 
-No I/O: the holder asks, and does what it is told.
+This module does no I/O: the holder asks for decisions and executes them.
 
-Each answer of a transaction carries a new handle with the next step number.
-A statement whose answer was lost may or may not have run inside the
-transaction; its caller, told "not run", could otherwise run it again in the
-same transaction and double it. With the old handle it can't: the step number
-gives it away, and the transaction is rolled back.
+Each answer within a transaction carries a new handle with the next step
+number. If the answer to a statement is lost, the statement may or may not
+have run inside the transaction. Its caller gets "not run" and could repeat it
+in the same transaction, which would apply it twice. The old handle prevents
+this: its step number does not match, and the transaction is rolled back.
 """
 
 from __future__ import annotations
@@ -26,24 +26,24 @@
 from bamboospring.tokens import TransactionHandle
 
 __all__ = [
-    "Answer",
-    "Go",
-    "RollBack",
+    "ReturnOutcome",
+    "SendStep",
+    "RollBackTransaction",
     "Transaction",
     "TransactionTable",
-    "Verdict",
+    "StepDecision",
 ]
 
-# How many ended transactions are remembered, so that a commit that is asked
-# for again gets the first one's outcome.
-REMEMBERED = 2000
+# How many ended transactions are kept, so that a repeated commit gets the
+# outcome of the first one.
+MAX_ENDED = 2000
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Transaction:
     """An open transaction, pinned to the connection in `leased`.
 
-    `step` is the step number that the next request must show.
+    `step` is the step number that the next request must carry.
     """
 
     number: int
@@ -52,38 +52,38 @@
     term: int
     leased: Any
     step: int = 1
-    busy: bool = False
+    step_in_flight: bool = False
     committing: bool = False
-    idle: Any = None
+    idle_timer: Any = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Go:
+class SendStep:
     """Send the step to the target."""
 
     transaction: Transaction
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RollBack:
-    """Close the transaction's connection and answer with `outcome`."""
+class RollBackTransaction:
+    """Close the transaction's connection and return `outcome`."""
 
     transaction: Transaction
     outcome: Outcome
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Answer:
-    """Send nothing and answer with `outcome`."""
+class ReturnOutcome:
+    """Send nothing and return `outcome`."""
 
     outcome: Outcome
 
 
-Verdict = Go | RollBack | Answer
+StepDecision = SendStep | RollBackTransaction | ReturnOutcome
 
 
 class TransactionTable:
-    """All transactions of one holder, and the outcomes of the last ended."""
+    """The open transactions of a holder and the last ended ones' outcomes."""
 
     def __init__(self, *, vm: str) -> None:
         self._vm = vm
@@ -93,16 +93,16 @@
     def __len__(self) -> int:
         return len(self._open)
 
-    def of_group(self, group: str) -> list[Transaction]:
+    def in_group(self, group: str) -> list[Transaction]:
         """Return the open transactions of a group."""
         return [tx for tx in self._open.values() if tx.group == group]
 
-    def open(self, transaction: Transaction) -> None:
-        """Take in a transaction that has begun at its target."""
+    def add(self, transaction: Transaction) -> None:
+        """Add a transaction that has begun at its target."""
         self._open[transaction.number] = transaction
 
-    def handle(self, transaction: Transaction) -> TransactionHandle:
-        """Return the handle that the transaction's next step must show."""
+    def next_handle(self, transaction: Transaction) -> TransactionHandle:
+        """Return the handle that the transaction's next step must carry."""
         return TransactionHandle(
             vm=self._vm,
             group=transaction.group,
@@ -111,53 +111,65 @@
             step=transaction.step,
         )
 
-    def judge(self, handle: TransactionHandle, stmt: Statement) -> Verdict:
-        """Decide what to do with a step; `Go` marks it as busy."""
+    def decide_step(
+        self, handle: TransactionHandle, stmt: Statement
+    ) -> StepDecision:
+        """Decide about a step; `SendStep` marks it as in flight."""
         if handle.caller != stmt.caller or handle.group != stmt.group:
-            return Answer(outcome=_no_transaction("of another session"))
+            return ReturnOutcome(
+                outcome=_no_transaction_outcome(
+                    "the transaction belongs to another session"
+                )
+            )
         transaction = self._open.get(handle.number)
         if transaction is None:
-            return Answer(outcome=self._of_ended(handle, stmt))
-        if transaction.busy:
-            return Answer(outcome=_still_busy(stmt))
+            return ReturnOutcome(outcome=self._outcome_of_ended(handle, stmt))
+        if transaction.step_in_flight:
+            return ReturnOutcome(outcome=_step_in_flight_outcome(stmt))
         if handle.step != transaction.step:
-            return RollBack(
+            return RollBackTransaction(
                 transaction=transaction,
-                outcome=_lost("an answer was missed; it was rolled back"),
+                outcome=_lost_outcome(
+                    "the handle is outdated; the transaction was rolled back"
+                ),
             )
-        transaction.busy = True
+        transaction.step_in_flight = True
         transaction.committing = stmt.step is StepKind.COMMIT
         transaction.step += 1
-        return Go(transaction=transaction)
+        return SendStep(transaction=transaction)
 
-    def free(self, transaction: Transaction) -> None:
-        """Note that a step has been answered and the next may come."""
-        transaction.busy = False
+    def mark_step_answered(self, transaction: Transaction) -> None:
+        """Record that a step was answered, so that the next may be sent."""
+        transaction.step_in_flight = False
 
     def end(self, transaction: Transaction, outcome: Outcome) -> bool:
-        """Forget an open transaction; False if it had ended before.
+        """End an open transaction; return False if it had already ended.
 
-        The outcome is what a repeated commit is told. For a commit that is
-        still waiting for its majority that is `Unknown`, until `settle`.
+        `outcome` is returned to a repeated commit. For a commit that still
+        waits for its majority this is `Unknown`, until `record_outcome`.
         """
         found = self._open.pop(transaction.number, None) is not None
         if found:
-            self.settle(transaction, outcome)
+            self.record_outcome(transaction, outcome)
         return found
 
-    def settle(self, transaction: Transaction, outcome: Outcome) -> None:
-        """Remember the final outcome of a transaction that has ended."""
+    def record_outcome(
+        self, transaction: Transaction, outcome: Outcome
+    ) -> None:
+        """Record the final outcome of an ended transaction."""
         self._ended[transaction.number] = outcome
-        while len(self._ended) > REMEMBERED:
+        while len(self._ended) > MAX_ENDED:
             self._ended.popitem(last=False)
 
-    def _of_ended(self, handle: TransactionHandle, stmt: Statement) -> Outcome:
+    def _outcome_of_ended(
+        self, handle: TransactionHandle, stmt: Statement
+    ) -> Outcome:
         if stmt.step is not StepKind.COMMIT:
-            return _lost("the transaction has ended")
+            return _lost_outcome("the transaction has ended")
         outcome = self._ended.get(handle.number)
         if outcome is None:
-            # An earlier commit of it may have been sent by a process that
-            # has been restarted since, so "not run" could be a lie.
+            # A process that was restarted since may have sent an earlier
+            # commit of this transaction, so "not run" could be wrong.
             return Unknown(
                 reason=Reason.TRANSACTION_LOST,
                 message="the holder does not know this transaction",
@@ -167,17 +179,17 @@
         return outcome
 
 
-def _no_transaction(message: str) -> NotRun:
+def _no_transaction_outcome(message: str) -> NotRun:
     return NotRun(reason=Reason.NO_TRANSACTION, message=message)
 
 
-def _lost(message: str) -> NotRun:
+def _lost_outcome(message: str) -> NotRun:
     return NotRun(reason=Reason.TRANSACTION_LOST, message=message)
 
 
-def _still_busy(stmt: Statement) -> Outcome:
-    message = "another step of it is under way"
+def _step_in_flight_outcome(stmt: Statement) -> Outcome:
+    message = "another step of the transaction is in flight"
     if stmt.step is StepKind.COMMIT:
-        # That other step may be this very commit, sent through another VM.
+        # The other step may be the same commit, sent through another VM.
         return Unknown(reason=Reason.NO_TRANSACTION, message=message)
-    return _no_transaction(message)
+    return _no_transaction_outcome(message)
--- a/bamboospring/wire.py
+++ b/bamboospring/wire.py
@@ -1,8 +1,8 @@
-"""Statements and their outcomes as messages between an entry and a holder.
+"""Encode statements and outcomes as messages between entry and holder.
 
-An Envelope carries each of them as one JSON array, the head, beside what is
-passed on unread. With a field of its own for each member, pycapnp's look-ups
-by name took twice the time (docs/design/sessions.md).
+An Envelope carries each of them as one JSON array, the head, besides the data
+that is passed on unparsed. With a separate field for each member, the lookups
+by name in pycapnp take twice the time (docs/design/sessions.md).
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
     OVERLOADED: Overloaded,
     UNKNOWN: Unknown,
 }
-# What reading a head with other members than ours raises.
+# Exceptions raised while decoding a head with unexpected members.
 MALFORMED = (ValueError, TypeError, KeyError, capnp.KjException)
 
 
 def encode_statement(stmt: Statement, now: float) -> Any:
-    """Return an Envelope; the deadline travels as time left."""
+    """Return an Envelope; the deadline is sent as remaining time."""
     message = new_envelope()
     out = message.init("statement")
     out.head = orjson.dumps(
@@ -61,7 +61,7 @@
             stmt.staleness,
             max(0.0, stmt.deadline - now),
             stmt.trace,
-            stmt.settle,
+            stmt.allow_primary,
         )
     )
     out.params = stmt.params
@@ -69,7 +69,7 @@
 
 
 def decode_statement(message: Any, now: float) -> Statement:
-    """Read a Statement from an Envelope; raise `MessageError` if malformed."""
+    """Decode a Statement; raise `MessageError` if it is malformed."""
     try:
         src = message.statement
         (
@@ -83,9 +83,9 @@
             term,
             index,
             staleness,
-            left,
+            remaining,
             trace,
-            settle,
+            allow_primary,
         ) = orjson.loads(src.head)
         return Statement(
             group=group,
@@ -93,17 +93,17 @@
             write=write,
             sql=sql,
             params=src.params,
-            deadline=now + left,
+            deadline=now + remaining,
             step=StepKind(step),
             transaction=transaction,
             key=key,
             token=Position(term=term, index=index),
             staleness=staleness,
             trace=trace,
-            settle=settle,
+            allow_primary=allow_primary,
         )
     except MALFORMED as exc:
-        raise MessageError(f"not a statement: {exc}") from exc
+        raise MessageError(f"malformed statement: {exc}") from exc
 
 
 def encode_outcome(outcome: Outcome) -> Any:
@@ -129,7 +129,7 @@
 
 
 def decode_outcome(message: Any) -> Outcome:
-    """Read an outcome from an Envelope; raise `MessageError` if malformed."""
+    """Decode an outcome; raise `MessageError` if it is malformed."""
     try:
         src = message.answer
         kind, *members = orjson.loads(src.head)
@@ -137,7 +137,7 @@
             return _read_done(src, members)
         return _read_refusal(kind, members)
     except MALFORMED as exc:
-        raise MessageError(f"not an answer: {exc}") from exc
+        raise MessageError(f"malformed answer: {exc}") from exc
 
 
 def _done_head(outcome: Done) -> bytes:
@@ -171,9 +171,13 @@
 
 
 def _refusal_head(
-    kind: int, outcome: Failed | NotRun | Overloaded | Unknown, retry: int
+    kind: int,
+    outcome: Failed | NotRun | Overloaded | Unknown,
+    retry_after_ms: int,
 ) -> bytes:
-    return orjson.dumps((kind, outcome.reason.value, outcome.message, retry))
+    return orjson.dumps(
+        (kind, outcome.reason.value, outcome.message, retry_after_ms)
+    )
 
 
 def _read_refusal(kind: int, members: list[Any]) -> Outcome:
