--- a/features/admission.feature
+++ b/features/admission.feature
@@ -5,9 +5,9 @@
     And no explored load loses a statement or answers it twice
 
   Scenario: A flooding caller delays only itself
-    # One caller asks for 500 statements at once. Another one then asks for
-    # one at a time. It has to wait for about one statement of the other, not
-    # for the whole queue, and the flood is refused beyond its part.
+    # One caller submits 500 statements at once, then another one submits one.
+    # It waits for about one statement of the first caller instead of the whole
+    # queue. The first caller's statements beyond its part are refused.
     Given an admission with 1 slot and room for 64
     When caller flood asks for 500 statements with 2000 ms left
     And caller quiet asks for 1 statements with 2000 ms left
@@ -38,9 +38,9 @@
     Then 6 slots become 3 at first and 6 after the slow start
 
   Scenario: An entry sends to the holder that owes it the fewest answers
-    # Each holder has its part of the slots. With all that one entry gets sent
-    # to itself, because it is a holder, its one slot has a long queue while
-    # the slots of the others are free, and callers are refused.
+    # Each holder has a share of the slots. If an entry that is a holder sent
+    # all statements to itself, its one slot would have a long queue and
+    # callers would be refused while the slots of the other holders are free.
     Given an entry that is one of the three holders of a group
     When 1 writes come and none is answered
     Then the holders owe 1, 0 and 0 answers
--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,21 +1,20 @@
 Feature: A write with a key runs at most once
-  The key is written in the write's own transaction at the target, so it is
-  where the write is, whatever dies on the way. Five VMs, three of which hold
-  the group.
+  The target stores the key in the write's own transaction, so every target
+  that has the write has the key, whichever process fails. Five VMs, three of
+  which hold the group.
 
   Scenario: The answer is lost on its way to the caller
-    # The write is done; its answer is stuck between entry and caller. The
-    # caller gives up and tries again through another VM, and gets the answer
-    # of the first try.
+    # The write is done, but its answer is held back between entry and caller.
+    # The caller times out, retries through another VM and gets the answer of
+    # the first try.
     Given an at-most-once fleet
     When the answer to a write with key k1 is lost on the last way
     Then the same write with key k1 through another VM is a replay
     And 1 row with key k1 is at every target
 
   Scenario: The answer is lost between target and holder
-    # The target has committed; its answers come so late that the holder never
-    # hears of it in time and says unknown, since anything else could be wrong.
-    # Another try finds the key.
+    # The target has committed, but its answer arrives after the deadline. The
+    # holder reports an unknown outcome, and a retry finds the key.
     Given an at-most-once fleet
     When the answer to a write with key k2 is lost before the holder
     Then that keyed write ended as unknown
@@ -23,23 +22,23 @@
     And 1 row with key k2 is at every target
 
   Scenario: Two tries at the same time through different VMs
-    # A caller that is in doubt sends the same write twice at once. The target
-    # takes one after the other; the second finds the key and runs nothing.
+    # A caller sends the same write several times at once. The target runs one
+    # after the other; the later ones find the key and run nothing.
     Given an at-most-once fleet
     When each of 20 keyed writes is sent at once through 3 VMs
     Then of each keyed write 1 try ran and the others are replays of it
     And every keyed write has 1 row at every target
 
   Scenario: Entries and holders are killed under load
-    # Callers write with keys, trying again through the next VM until they are
-    # told "done", while VMs are killed and started again one after another.
+    # Callers write with keys and retry through the next VM until the outcome
+    # is "done", while VMs are killed and restarted one after another.
     Given an at-most-once fleet
     When 8 callers write 25 keyed rows each while every VM is killed once
     Then all keyed writes were acknowledged
     And every keyed write has 1 row at every target
 
   Scenario: The primary changes between two tries
-    # The first try was acknowledged at term 1. The second one goes to the
+    # The first try is acknowledged at term 1. The second one goes to the
     # primary of term 2, whose log has the key because it has the write.
     Given an at-most-once fleet
     When a write with key k3 is done and another member becomes primary
@@ -47,26 +46,26 @@
     And 1 row with key k3 is at every target
 
   Scenario: The primary is killed under load
-    # Nobody promotes by hand: the VMs find out and change the primary while
-    # callers go on. Whatever they were told, each key has its effect once.
+    # The VMs detect the failure and change the primary under load. Whatever
+    # outcomes the callers got, each keyed write takes effect once.
     Given an at-most-once fleet
     When 8 callers write 25 keyed rows each while the primary is killed
     Then all keyed writes were acknowledged
     And every keyed write has 1 row at every living target
 
   Scenario: The primary freezes and a holder dies at the same time
-    # Both go at once under load, while replicas take 100 ms to receive a
-    # write: some writes under way are at the old primary only, some are at a
-    # replica and nobody was told. A new primary is found; callers try again.
-    # Later the old one runs again, still thinking itself primary, and rejoins.
+    # Both fail at the same time under load, while replicas take 100 ms to
+    # receive a write. Some writes in flight are only at the old primary,
+    # others are at a replica but not acknowledged. A new primary is chosen and
+    # callers retry. Later the old primary resumes in its old role and rejoins.
     Given an at-most-once fleet
     When 8 callers write 25 keyed rows each while primary and holder fail
     Then all keyed writes were acknowledged
     And every keyed write has 1 row at every target
 
   Scenario: A key is used again for something else
-    # A program error: the same key with other parameters. Answering with the
-    # first write's answer would hide that the second one never ran.
+    # A programming error reuses a key with other parameters. Returning the
+    # first write's answer would hide that the second write never ran.
     Given an at-most-once fleet
     When a write with key k4 is done
     Then another write with key k4 is refused with key_reused
--- a/features/bad_input.feature
+++ b/features/bad_input.feature
@@ -1,11 +1,11 @@
 Feature: Bad input gets a clear error and changes nothing
   Every request here is sent over a raw connection to a running VM. In each
-  case the answer says what is wrong, the connection is known to be usable or
-  closed, no target runs anything, and the VM serves the next caller.
+  case the answer states the error, the connection is either usable or closed,
+  no target runs anything, and the VM serves the next caller.
 
   Scenario: Requests that are understood as HTTP but not as ours
-    # Each is refused before anything is sent on; since it was read to its
-    # end, the connection stays usable.
+    # Each request is refused before anything is forwarded. It has been read
+    # completely, so the connection stays usable.
     Given a bad-input fleet
     Then these requests are refused and their connections stay usable
       | fault                      | status | reason         |
@@ -33,9 +33,9 @@
     And no target ran anything, and the VM serves the next caller
 
   Scenario: Requests that can't be told from the next one
-    # Where the request ends is in doubt, so what follows could be read as a
-    # second request that nobody sent: here a write follows each of them. It
-    # is refused and the connection closed.
+    # The end of the request is ambiguous, so the following bytes could be
+    # taken for a second request (request smuggling); here a write follows each
+    # one. The request is refused and the connection closed.
     Given a bad-input fleet
     Then these raw requests are refused and their connections closed
       | fault                             | status |
@@ -59,22 +59,22 @@
     And no target ran anything, and the VM serves the next caller
 
   Scenario: Slow headers hold nothing for long
-    # A caller sends one byte of its request each half second. The request has
-    # a time limit as a whole, so it is ended although bytes keep coming.
+    # A caller sends one byte of its request every half second. The time limit
+    # is for the whole request, so it is ended although bytes still arrive.
     Given a bad-input fleet
     When a caller sends its headers a byte at a time
     Then the connection is closed within 20 seconds with status 408
     And no target ran anything, and the VM serves the next caller
 
   Scenario: Pipelined requests are answered in order
-    # Forty requests in one go, each asking for its own number, with a bad one
-    # in the middle. Each answer is the next request's.
+    # Forty requests are sent at once, each selecting its own number, with an
+    # invalid one in the middle. The answers must be in the same order.
     Given a bad-input fleet
     When a caller pipelines 40 reads with a broken one in the middle
     Then the answers come in the order of the requests
 
   Scenario: Any bytes and any JSON leave the VM up
-    # Generated requests, always the same ones: JSON of any shape, known fields
+    # Generated requests with a fixed seed: JSON of any structure, known fields
     # with any values, and raw bytes.
     Given a bad-input fleet
     When generated requests are sent to a VM
@@ -82,15 +82,15 @@
     And no target ran anything, and the VM serves the next caller
 
   Scenario: A body that stops halfway
-    # The caller promises 100 bytes, sends 10 and closes. Nothing is run.
+    # The caller announces 100 bytes, sends 10 and closes. Nothing runs.
     Given a bad-input fleet
     When a caller closes in the middle of its body
     Then no target ran anything, and the VM serves the next caller
 
   Scenario: A result that is too large harms nobody else
-    # A read gives 5 MB. Sent on, it would break the link between the VMs, and
-    # with it every statement under way there. It is refused by its holder,
-    # while others' reads through the same VM go on.
+    # A read returns 5 MB. Forwarded, it would break the link between the VMs
+    # and lose every statement in flight on it. The holder refuses the result,
+    # and other reads through the same VM are not affected.
     Given a bad-input fleet with VMs that only forward
     When a caller reads 5 MB while others read through the same VM
     Then that read failed and its message says that the result is too large
--- a/features/shares.feature
+++ b/features/shares.feature
@@ -4,10 +4,10 @@
     Then every split of a limit is exact, fair and never shrinks as it grows
 
   Scenario: A new holder takes over only what was given up
-    # Three VMs hold a target with 20 connections; a fourth joins and takes a
-    # place. The one that loses its place still has two busy connections when
-    # it answers. The new one starts with what is left and gets the two only
-    # after they have been closed: a target never sees more than 20.
+    # Three VMs hold a target with 20 connections, and a fourth VM replaces one
+    # of them. The replaced VM still uses two connections when it answers. The
+    # new one gets these two only after they have been closed, so the target
+    # never has more than 20 connections.
     Given shares of VMs a, b and c of a target with 20 connections
     When VM d takes the place of c, which still uses 2
     Then VM d may use 4 connections
@@ -15,18 +15,19 @@
     Then VM d may use 6 connections
 
   Scenario: A holder dies as soon as it has its share
-    # VM a is the first to ask and gets its share. It dies in that moment, and
-    # the platform's list still has it. Callers must be served by b and c:
-    # a's promise has reached them before a began to serve.
+    # VM a is the first to ask, gets its share and dies immediately, while it
+    # is still on the platform's list. VMs b and c must still get their shares:
+    # a's promise has reached them before a used its own share.
     Given new shares of VMs a, b and c of a target with 20 connections
     When VM a asks first and dies once it may use anything
     Then VM b may use 7 connections
     And VM c may use 6 connections
 
   Scenario: The platform is down and a holder is cut off
-    # While only the platform is silent, VMs hear each other and keep their
-    # shares. A VM that hears nobody gives up its share before the others may
-    # take it, because it can't see that it has left the list.
+    # In an outage of only the platform the VMs have contact with each other
+    # and keep their shares. A VM without any contact gives up its share before
+    # the others may use it, because it can't see that it was removed from the
+    # list.
     Given shares of VMs a, b and c of a target with 20 connections
     When the platform is silent for 60 seconds
     Then VM a may use 7 connections
@@ -34,9 +35,9 @@
     Then VM a may use 0 connections
 
   Scenario: The limit holds in any order of events
-    # VMs see lists at different times, join, leave, die, restart, stop for a
-    # while and lose or delay messages. No order of these lets the VMs
-    # together use more than the target allows.
+    # VMs see lists at different times, join, leave, die, restart, pause, and
+    # lose or delay messages. In no order of these events do the VMs together
+    # use more than the target allows.
     Then no explored order of events exceeds the limit
 
   Scenario Outline: The exploration catches a seeded fault
--- a/features/silent_transaction.feature
+++ b/features/silent_transaction.feature
@@ -1,10 +1,10 @@
 Feature: A transaction whose connection went silent holds nobody up
 
-  # Callers see every write of the group time out, for as long as the target
-  # keeps the transaction. What lies between holder and target forgets the
-  # connections that are open and passes nothing more on them, also not that
-  # the holder closed its end; new connections work. The target keeps the
-  # transaction with its write lock, until the holder orders it to be ended.
+  # The failure: every write of the group times out for as long as the target
+  # keeps an abandoned transaction with its write lock. A middlebox between
+  # holder and target drops the state of the open connections and passes
+  # nothing on them, not even the holder's close; new connections work. The
+  # holder must request the end of the transaction over a new connection.
   Scenario: The write lock of a silent transaction is freed
     Given a small fleet behind the fault proxy with a table
     And a caller whose open transaction has written
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the decisions under load: admission, retries, circuits."""
+"""Steps on admission, retry budgets and circuit breakers."""
 
 from behave import given
 from behave import then
@@ -29,57 +29,61 @@
 
 
 class Load:
-    """An admission, its running statements and what became of each."""
+    """An `Admission`, its running tickets and the result of each ticket."""
 
-    def __init__(self, slots, room):
-        self.admission = Admission(slots=slots, queue_limit=room)
+    def __init__(self, slots, queue_limit):
+        self.admission = Admission(slots=slots, queue_limit=queue_limit)
         self.now = 0.0
         self.order = []
-        self.fates = {}
+        self.results = {}
         self.running = []
         self.count = 0
 
-    def submit(self, caller, left_ms):
+    def submit(self, caller, remaining_ms):
         self.count += 1
         ticket = Ticket(
-            caller=caller, deadline=self.now + left_ms / 1000, item=self.count
+            caller=caller,
+            deadline=self.now + remaining_ms / 1000,
+            item=self.count,
         )
-        self.take(self.admission.submit(ticket, self.now))
+        self.apply(self.admission.submit(ticket, self.now))
 
-    def take(self, verdicts):
-        for verdict in verdicts:
-            number = verdict.ticket.item
-            match verdict:
+    def apply(self, decisions):
+        for decision in decisions:
+            number = decision.ticket.item
+            match decision:
                 case SlotGranted():
-                    self.running.append(verdict.ticket)
-                    self.order.append(verdict.ticket.caller)
-                    self.settle(number, "run")
+                    self.running.append(decision.ticket)
+                    self.order.append(decision.ticket.caller)
+                    self.record_result(number, "run")
                 case SlotRefused():
-                    self.settle(number, verdict)
+                    self.record_result(number, decision)
                 case SlotQueued():
-                    assert number not in self.fates
+                    assert number not in self.results
 
-    def settle(self, number, fate):
-        assert number not in self.fates, "two fates of one statement"
-        self.fates[number] = fate
+    def record_result(self, number, result):
+        assert number not in self.results, "two results for one statement"
+        self.results[number] = result
 
     def finish(self, seconds):
         self.now += seconds
         if self.running:
             ticket = self.running.pop(0)
             self.admission.release(ticket, seconds)
-        self.take(self.admission.grant_next(self.now))
+        self.apply(self.admission.grant_next(self.now))
 
     def drain(self, seconds):
         while self.running or self.admission.waiting:
             self.finish(seconds)
 
     def refusals(self):
-        fates = self.fates.values()
-        return [fate for fate in fates if isinstance(fate, SlotRefused)]
+        results = self.results.values()
+        return [
+            result for result in results if isinstance(result, SlotRefused)
+        ]
 
 
-def play(events):
+def replay(events):
     load = Load(2, 8)
     slots = 2
     for kind, caller, number in events:
@@ -90,10 +94,10 @@
                 load.finish(number / 10000)
             case "expire":
                 load.now += number / 10000
-                load.take(load.admission.expire(load.now))
+                load.apply(load.admission.expire(load.now))
             case "slots":
                 slots = load.admission.slots = number % 4
-                load.take(load.admission.grant_next(load.now))
+                load.apply(load.admission.grant_next(load.now))
         yield load, slots
     load.admission.slots = 1
     load.drain(0.01)
@@ -113,10 +117,10 @@
 def step_bounds(context):
     def check(events):
         running = 0
-        for load, slots in play(events):
+        for load, slots in replay(events):
             assert load.admission.waiting <= 8
             assert load.admission.running == len(load.running)
-            # A smaller share lets what runs finish, and starts nothing.
+            # After the share shrinks, running tickets finish and none starts.
             assert len(load.running) <= max(slots, running)
             running = len(load.running)
 
@@ -126,10 +130,10 @@
 @then("no explored load loses a statement or answers it twice")
 def step_whole(context):
     def check(events):
-        for load, _ in play(events):
+        for load, _ in replay(events):
             pass
-        assert set(load.fates) == set(range(1, load.count + 1))
-        assert not load.admission._uses
+        assert set(load.results) == set(range(1, load.count + 1))
+        assert not load.admission._usages
 
     explore(check)
 
@@ -195,27 +199,29 @@
 def step_breaker(context, count):
     context.breaker = Breaker()
     for _ in range(count):
-        assert context.breaker.may_open(0.0)
-        context.breaker.failed(0.0, draw=0.5)
+        assert context.breaker.allow_open(0.0)
+        context.breaker.record_failure(0.0, draw=0.5)
 
 
 @then("it is open and lets one trial through after its pause")
 def step_trial(context):
     breaker = context.breaker
     assert breaker.circuit is Circuit.OPEN
-    assert not breaker.may_open(breaker.retry_at - 0.001)
-    assert breaker.may_open(breaker.retry_at)
-    assert not breaker.may_open(breaker.retry_at)
+    assert not breaker.allow_open(breaker.retry_at - 0.001)
+    assert breaker.allow_open(breaker.retry_at)
+    assert not breaker.allow_open(breaker.retry_at)
 
 
 @when("the trial succeeds")
 def step_trial_succeeds(context):
-    context.breaker.answered(10.0)
+    context.breaker.record_success(10.0)
 
 
 @then("{share:d} slots become {first:d} at first and {last:d} after {what}")
 def step_slow_start(context, share, first, last, what):
     breaker = context.breaker
-    assert breaker.slots(share, 10.0) == first, breaker.slots(share, 10.0)
-    end = 10.0 + breaker.timing.slow_start
-    assert breaker.slots(share, end) == last
+    assert breaker.allowed_slots(share, 10.0) == first, breaker.allowed_slots(
+        share, 10.0
+    )
+    end = 10.0 + breaker.timing.slow_start_duration
+    assert breaker.allowed_slots(share, end) == last
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -25,14 +25,17 @@
 
 
 def keyed_write(caller: Caller, key: str, body: str = "") -> CallerAnswer:
-    """Write a row that names its key."""
+    """Write a row with a key; its body is the key by default."""
     return caller.write(GROUP, INSERT, [body or key], key=key)
 
 
 def write_until_done(
     caller: Caller, key: str, end: float
 ) -> tuple[CallerAnswer, list[CallerAnswer]]:
-    """Try again through the next VM until a try is done."""
+    """Retry through the next VM until the write is done.
+
+    Return the last answer and all answers before it.
+    """
     others = []
     while True:
         answer = keyed_write(caller, key)
@@ -52,7 +55,7 @@
 def wait_rows(
     fleet: Fleet, targets: list[str], wanted: dict[str, int]
 ) -> None:
-    """Wait until each target has the wanted rows, and fail if not."""
+    """Wait until each target has the wanted rows; print differences."""
 
     def level() -> bool:
         return all(count_rows(fleet, t) == wanted for t in targets)
@@ -95,10 +98,11 @@
     fleet = context.fleet
     link = f"target:{fleet.primary(GROUP)}"
     caller = caller_at(fleet, context.entry, deadline_ms=2000)
-    # Each holder must have a connection before its answers are held back.
+    # Each holder must have a connection before the answers are delayed.
     for number in range(6):
         assert keyed_write(caller, f"warm up {number}", "other").done
-    # Late, not cut: a primary that is not heard at all is soon replaced.
+    # Answers are delayed and not lost, because a primary that does not answer
+    # at all would be replaced.
     fleet.set_link_mode(link, "delay", direction="to_client", delay_ms=500)
     caller.deadline_ms = 250
     context.answer = keyed_write(caller, key)
@@ -171,8 +175,8 @@
     wait_rows(fleet, living, {key: 1 for key in context.keys})
 
 
-def write_under(context: Any, callers: int, rows: int, trouble: Any) -> None:
-    """Let callers write keyed rows while `trouble` runs beside them."""
+def write_under(context: Any, callers: int, rows: int, disturb: Any) -> None:
+    """Let callers write keyed rows while `disturb` runs concurrently."""
     fleet = context.fleet
     end = time.monotonic() + GIVE_UP
 
@@ -190,7 +194,7 @@
     works: list[Any] = [
         lambda n=n: work(n) for n in range(callers)  # type: ignore[misc]
     ]
-    thread = threading.Thread(target=trouble, daemon=True)
+    thread = threading.Thread(target=disturb, daemon=True)
     thread.start()
     results = in_threads(works)
     thread.join()
@@ -209,14 +213,14 @@
 def when_vms_killed(context: Any, callers: int, rows: int) -> None:
     fleet = context.fleet
 
-    def trouble() -> None:
+    def disturb() -> None:
         for name in fleet.vms:
             time.sleep(0.3)
             fleet.kill(name)
             time.sleep(0.3)
             fleet.restart(name)
 
-    write_under(context, callers, rows, trouble)
+    write_under(context, callers, rows, disturb)
 
 
 @when(
@@ -226,11 +230,11 @@
 def when_primary_killed(context: Any, callers: int, rows: int) -> None:
     fleet = context.fleet
 
-    def trouble() -> None:
+    def disturb() -> None:
         time.sleep(0.5)
         fleet.kill(fleet.primary(GROUP))
 
-    write_under(context, callers, rows, trouble)
+    write_under(context, callers, rows, disturb)
 
 
 @when(
@@ -244,7 +248,7 @@
     for target in fleet.targets:
         fleet.set_target(target, receive_lag_ms=100)
 
-    def trouble() -> None:
+    def disturb() -> None:
         time.sleep(1.0)
         fleet.freeze(primary)
         fleet.kill(holder)
@@ -252,7 +256,7 @@
         fleet.thaw(primary)
         fleet.restart(holder)
 
-    write_under(context, callers, rows, trouble)
+    write_under(context, callers, rows, disturb)
 
 
 @then("all keyed writes were acknowledged")
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -45,7 +45,7 @@
 
 
 class RawConnection:
-    """A plain connection on which any bytes can be sent."""
+    """A socket on which any bytes can be sent."""
 
     def __init__(self, address: str) -> None:
         host, port = address.rsplit(":", 1)
@@ -53,14 +53,14 @@
         self.rest = b""
 
     def send(self, data: bytes) -> None:
-        """Send bytes; the other side may have closed already."""
+        """Send bytes; ignore that the other side has closed."""
         try:
             self.sock.sendall(data)
         except OSError:
             pass
 
     def answer(self) -> tuple[int, Any]:
-        """Read one whole answer; status 0 when the connection ended."""
+        """Read one whole answer; the status is 0 if the connection ended."""
         head, found, rest = self._until(b"\r\n\r\n")
         if not found:
             return 0, None
@@ -78,7 +78,7 @@
         return int(head.split()[1]), json.loads(rest[:length] or b"null")
 
     def is_closed(self) -> bool:
-        """Tell whether the other side closes within the time limit."""
+        """Return whether the other side closes within the time limit."""
         try:
             return not self.rest and self.sock.recv(1) == b""
         except TimeoutError:
@@ -119,7 +119,7 @@
 
 
 def good_body(context: Any, **changes: Any) -> dict[str, Any]:
-    """Return the body of a write that would be run, with changes."""
+    """Return the body of a valid write, with changes."""
     body = {
         "token": context.token,
         "group": GROUP,
@@ -143,7 +143,8 @@
 def given_fleet(context: Any) -> None:
     fleet = start_fleet(context)
     context.token = Caller(entries=fleet.entries()).open()
-    # Callers' own way, without the link: its proxy would hide a close.
+    # Connect directly to the VM, because the proxy of the link would hide a
+    # close.
     context.vm = next(iter(fleet.vms.values())).callers_listen
     context.before = executed(context)
 
@@ -191,7 +192,7 @@
 
 
 def refused(conn: RawConnection, status: int, reason: str) -> str:
-    """Return what is wrong with the answer to a bad request, if anything."""
+    """Return an error if the answer is not the expected refusal."""
     found, body = conn.answer()
     if found != status:
         return f"status {found}, {body}"
@@ -234,10 +235,10 @@
 
 
 def raw_request(context: Any, fault: str) -> bytes:
-    """Return the bytes of a request whose end is in doubt.
+    """Return the bytes of a request whose end is ambiguous.
 
-    A well formed write follows each of them: run, it would show that the
-    rest was taken for a request.
+    A valid write follows each request. If it runs, the remaining bytes were
+    taken for a second request.
     """
     body = json.dumps(good_body(context)).encode()
     size = len(body)
@@ -287,7 +288,7 @@
 
 
 def check_raw(context: Any, fault: str, status: int) -> str:
-    """Send a raw request and see that the connection is closed after it."""
+    """Send a raw request and check that the connection is closed after it."""
     conn = RawConnection(context.vm)
     try:
         conn.send(raw_request(context, fault))
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what an entry does before it asks a holder, with fakes."""
+"""Steps on what an entry does before it forwards, with fakes."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from bamboospring.statements import Statement
 
 GROUP = "ledger"
-ME = Vm(name="vm-1", address="127.0.0.1:2", availability_zone="zone-a")
-DEAD = Vm(name="vm-2", address="127.0.0.1:3", availability_zone="zone-b")
+LOCAL_VM = Vm(name="vm-1", address="127.0.0.1:2", availability_zone="zone-a")
+DEAD_VM = Vm(name="vm-2", address="127.0.0.1:3", availability_zone="zone-b")
 
 
 class Timers:
-    """A reactor's clock and timers, moved by hand."""
+    """A fake reactor whose clock and timers advance on request."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -52,23 +52,23 @@
 
 
 class ShareHolder:
-    """Runs statements from the time on at which it has a share."""
+    """A fake holder that runs statements once it has a share."""
 
     def __init__(self, timers: Timers) -> None:
         self.timers = timers
         self.share_at = 1e9
         self.ran = 0
 
-    def run(self, stmt: Statement, done: Any) -> None:
+    def run(self, stmt: Statement, on_complete: Any) -> None:
         if self.timers.now() < self.share_at:
-            done(NotRun(reason=Reason.NOT_HOLDER, retry_after_ms=100))
+            on_complete(NotRun(reason=Reason.NOT_HOLDER, retry_after_ms=100))
             return
         self.ran += 1
-        done(Done(term=1, index=1, target="t"))
+        on_complete(Done(term=1, index=1, target="t"))
 
 
-def a_statement(write: bool) -> Statement:
-    """Return a statement with ten seconds left."""
+def make_statement(write: bool) -> Statement:
+    """Return a statement whose deadline is ten seconds away."""
     return Statement(
         group=GROUP,
         caller="tester",
@@ -81,7 +81,7 @@
 
 @given("an entry that has just started")
 def given_entry(context: Any) -> None:
-    context.board = Blackboard(local_vm=ME)
+    context.board = Blackboard(local_vm=LOCAL_VM)
     context.tries = []
     context.forwarder = Forwarder(
         reactor=SimpleNamespace(now=lambda: 0.0),
@@ -107,7 +107,7 @@
 @when("a statement for the group ledger comes")
 def when_statement(context: Any) -> None:
     answers: list[Any] = []
-    context.forwarder.forward(a_statement(write=False), answers.append)
+    context.forwarder.forward(make_statement(write=False), answers.append)
     (context.answer,) = answers
 
 
@@ -116,8 +116,8 @@
     context.tries = []
     context.holder = Holder(
         reactor=Reactor(),
-        board=Blackboard(local_vm=ME, starting=True),
-        placement=Placement([ME]),
+        board=Blackboard(local_vm=LOCAL_VM, starting=True),
+        placement=Placement([LOCAL_VM]),
         pools=SimpleNamespace(),
         watcher=SimpleNamespace(),
         codec=SimpleNamespace(),
@@ -132,7 +132,7 @@
 @when("a statement for the group ledger comes to it")
 def when_at_holder(context: Any) -> None:
     answers: list[Any] = []
-    context.holder.run(a_statement(write=False), answers.append)
+    context.holder.run(make_statement(write=False), answers.append)
     (context.answer,) = answers
 
 
@@ -163,12 +163,12 @@
     context.timers = Timers()
     context.holder = ShareHolder(context.timers)
     context.budget = RetryBudget()
-    board = Blackboard(local_vm=ME)
+    board = Blackboard(local_vm=LOCAL_VM)
     board.group_names.add(GROUP)
     context.forwarder = Forwarder(
         reactor=context.timers,  # type: ignore[arg-type]
         board=board,
-        placement=Placement([ME, DEAD]),
+        placement=Placement([LOCAL_VM, DEAD_VM]),
         peers=SimpleNamespace(
             ask=lambda address, message, timeout, answered: answered(
                 PeerLost(sent=False)
@@ -193,7 +193,7 @@
     def answered(outcome: Outcome) -> None:
         context.answers.append((context.timers.now(), outcome))
 
-    context.forwarder.forward(a_statement(write=True), answered)
+    context.forwarder.forward(make_statement(write=True), answered)
 
 
 @when("the holder gets its share {after:d} ms after a write has come")
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps for limits, overload and silent connections, on real processes."""
+"""Steps on limits, overload and unresponsive connections, with processes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Load:
-    """Threads that send statements until told to stop."""
+    """Threads that send statements until `stop` is called."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
                 return caller.write(GROUP, WRITE, ["x"])
             return caller.read(GROUP, READ)
         except OSError:
-            # No session was to be had from a VM that is down.
+            # A VM that is down opened no session.
             caller.roam()
             time.sleep(0.05)
             return self._send(caller, number)
@@ -197,7 +197,7 @@
 
 @when("caller flood sends {rate:d} reads a second for {seconds:d} seconds")
 def when_flood(context: Any, rate: int, seconds: int) -> None:
-    # Here, since only this step needs the tool.
+    # Imported here, because only this step needs the load tool.
     from bamboospring import load
 
     plan = load.LoadPlan(
@@ -263,7 +263,7 @@
     assert all(answer.retry_after_ms > 0 for answer in refused), refused
 
 
-# Silent connections.
+# Unresponsive connections.
 
 
 @given("a silent fleet under a light load")
@@ -305,7 +305,7 @@
 @then("that replica serves reads again within {seconds:d} seconds")
 def then_serves_again(context: Any, seconds: int) -> None:
     def served() -> bool:
-        # What was under way when the link went silent does not count.
+        # Reads in flight when the link stopped passing data do not count.
         since = context.silent_at + 1.5
         return any(
             at >= since and a.done and a.target == context.silenced
@@ -342,7 +342,7 @@
     assert now == context.term, f"term {now}, was {context.term}"
 
 
-# Opening connections, decisions only.
+# Decisions about opening connections.
 
 
 @dataclasses.dataclass
@@ -351,7 +351,7 @@
 
 
 def lose_and_reopen(events: list[tuple[str, float]]) -> None:
-    """Play losses and openings; check the share and the pace."""
+    """Simulate losses and openings; check the share and the interval."""
     timing = ConnectionTiming(open_interval=0.02)
     connections = ConnectionTracker[Conn](timing=timing, limit=6)
     now, opened_at = 0.0, []
@@ -363,9 +363,9 @@
         if kind == "opened" and connections.opening:
             connections.add_opened(Conn(now))
         elif kind == "failed" and connections.opening:
-            connections.open_failed()
+            connections.record_open_failed()
         elif kind == "lost":
-            connections.take_idle()
+            connections.take_all_idle()
         elif kind == "smaller":
             connections.set_limit(2)
         elif kind == "larger":
--- a/features/steps/outstanding_steps.py
+++ b/features/steps/outstanding_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which holder an entry picks; holders and network are played."""
+"""Steps on the choice of a holder by an entry; the holders are fakes."""
 
 from __future__ import annotations
 
@@ -78,11 +78,11 @@
 
 @then("the holders owe {one:d}, {two:d} and {three:d} answers")
 def then_owe(context: Any, one: int, two: int, three: int) -> None:
-    owed = Counter(to for to, _ in context.waiting)
-    found = [owed[address] for address in ADDRESS.values()]
+    in_flight = Counter(to for to, _ in context.waiting)
+    found = [in_flight[address] for address in ADDRESS.values()]
     assert found == [one, two, three], found
 
 
 @then("the entry remembers no holder of the group")
 def then_forgotten(context: Any) -> None:
-    assert not context.forwarder._outstanding
+    assert not context.forwarder._in_flight
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -26,8 +26,8 @@
 LOAD_SECONDS = 2.0
 
 
-def read_some(context: Any, count: int) -> list[CallerAnswer]:
-    """Read through all VMs in turn."""
+def read_in_turn(context: Any, count: int) -> list[CallerAnswer]:
+    """Send `count` reads, each through the next VM."""
     caller = Caller(entries=context.fleet.entries())
     answers = []
     for _ in range(count):
@@ -37,8 +37,8 @@
     return answers
 
 
-def under_load(context: Any, trouble: Callable[[], None]) -> None:
-    """Read through all VMs at once, with `trouble` after a quarter."""
+def under_load(context: Any, disturb: Callable[[], None]) -> None:
+    """Read through all VMs at once; disturb after a quarter of the time."""
     context.answers = []
     end = time.monotonic() + LOAD_SECONDS
 
@@ -56,7 +56,7 @@
     for thread in threads:
         thread.start()
     time.sleep(LOAD_SECONDS / 4)
-    trouble()
+    disturb()
     for thread in threads:
         thread.join()
 
@@ -129,7 +129,7 @@
 
 @then("{count:d} routed reads are all served by the third member")
 def then_third(context: Any, count: int) -> None:
-    for answer in read_some(context, count):
+    for answer in read_in_turn(context, count):
         assert answer.done and answer.target == THIRD, answer
 
 
@@ -148,7 +148,7 @@
     wanted = {"second": {SECOND}, "third": {THIRD}}[which]
 
     def settled() -> bool:
-        answers = read_some(context, 30)
+        answers = read_in_turn(context, 30)
         assert all(answer.done for answer in answers), answers
         return {answer.target for answer in answers} == wanted
 
@@ -158,7 +158,7 @@
 @then("within {seconds:d} seconds routed reads are served by both replicas")
 def then_by_both(context: Any, seconds: int) -> None:
     def settled() -> bool:
-        answers = read_some(context, 60)
+        answers = read_in_turn(context, 60)
         assert all(answer.done for answer in answers), answers
         return {answer.target for answer in answers} == {SECOND, THIRD}
 
@@ -173,14 +173,14 @@
         return int(ran + found.get("refused_leaving", 0))
 
     before = sent()
-    answers = read_some(context, count)
+    answers = read_in_turn(context, count)
     assert all(answer.done for answer in answers), answers
     assert sent() == before, (before, sent())
 
 
 @then("a routed read without a stated age shows the row")
 def then_shows(context: Any) -> None:
-    for answer in read_some(context, 6):
+    for answer in read_in_turn(context, 6):
         assert answer.done and answer.rows == ((1,),), answer
 
 
--- a/features/steps/shares_steps.py
+++ b/features/steps/shares_steps.py
@@ -1,8 +1,8 @@
-"""Steps for the split of limits, with an exploration by hypothesis.
+"""Steps on the split of limits, with an exploration by Hypothesis.
 
-The exploration keeps some real `GroupShares` and plays the platform, the
-network and the clock. `FAULTS` is its mutation list: each entry breaks one
-safeguard, and the exploration must then find an order that exceeds the limit.
+The exploration runs real `GroupShares` and simulates the platform, the network
+and the clock. `FAULTS` lists mutations: each entry disables one safeguard, and
+the exploration must then find an order of events that exceeds the limit.
 """
 
 from contextlib import ExitStack
@@ -22,7 +22,7 @@
 from hypothesis import strategies as st
 
 from bamboospring.shares import GroupShares
-from bamboospring.shares import Reply
+from bamboospring.shares import ShareReply
 from bamboospring.shares import ShareTiming
 from bamboospring.shares import split
 from bamboospring.shares import TargetCapacity
@@ -33,16 +33,18 @@
 HOLDERS = 3
 NAMES = ("a", "b", "c", "d", "e")
 LAG = 0.5
-TIMING = ShareTiming(grace_period=4.0, isolation_timeout=1.5, retry=0.5)
+TIMING = ShareTiming(
+    grace_period=4.0, isolation_timeout=1.5, retry_interval=0.5
+)
 
 
 def limits_of(connections):
     units = TargetCapacity(slots=3, connections=connections)
-    return (TargetLimit(target="t", units=units),)
+    return (TargetLimit(target="t", capacity=units),)
 
 
 class Process:
-    """One run of a VM: its shares, what it uses and what it has seen."""
+    """One run of a VM: its shares, its usage and the list it has seen."""
 
     def __init__(self, name):
         self.watch = VmListMonitor(local_vm_name=name, timing=TIMING)
@@ -53,11 +55,11 @@
 
     def set_used(self, count):
         self.used = count
-        self.shares.use("t", TargetCapacity(connections=count))
+        self.shares.record_usage("t", TargetCapacity(connections=count))
 
 
 class Fleet(RuleBasedStateMachine):
-    """A target's limit, the VMs before it and everything between them."""
+    """VMs that share a target's limit, the platform and the network."""
 
     def __init__(self):
         super().__init__()
@@ -131,9 +133,10 @@
             process.set_used(0)
 
     def stop_replaced(self, name, since):
-        # The platform stops what it has taken off its list. A VM that can
-        # be neither seen nor stopped must have given up by itself, unless
-        # it stands still, which nothing outside the target can prevent.
+        # The platform stops VMs that it has removed from its list. A VM that
+        # is isolated can't be stopped and must have given up its share by
+        # itself. A paused VM is removed too, because only the target could
+        # prevent that it still holds its connections.
         process = self.processes.get(name)
         if process is None:
             del self.gone[name]
@@ -180,12 +183,12 @@
         )
         self.replies.append((name, process, ask.attempt, reply))
         asked = self.processes[ask.vm]
-        for back in other.shares.ask_back(now=self.now, vm=name):
+        for back in other.shares.follow_up_requests(now=self.now, vm=name):
             self.asks.append((ask.vm, asked, back))
 
     def pass_reply(self, name, process, attempt, reply):
         if self.running(name) is process and self.linked(name, reply.vm):
-            process.shares.reply(now=self.now, attempt=attempt, reply=reply)
+            process.shares.on_reply(now=self.now, attempt=attempt, reply=reply)
 
     @rule()
     def use_all(self):
@@ -273,7 +276,7 @@
 
 def agree_to_all(self, *, now, vm, revision, holders):
     held = {"t": self.held("t")}
-    return Reply(
+    return ShareReply(
         vm=self.vm_list_monitor.local_vm_name,
         agrees=True,
         informed=True,
@@ -283,19 +286,25 @@
 
 
 FAULTS = {
-    "a share grows without a promise": {"_may_use": lambda self, now: set()},
-    "promises from before a change count": {"_forget": lambda self: None},
+    "a share grows without a promise": {
+        "_potential_users": lambda self, now: set()
+    },
+    "promises from before a change count": {
+        "_discard_promises": lambda self: None
+    },
     "what is still used is ignored": {
         "_excess": lambda self, vm, position: TargetCapacity()
     },
-    "a VM off the list is forgotten": {"lingering": lambda self, now: set()},
+    "a VM off the list is forgotten": {
+        "recently_removed": lambda self, now: set()
+    },
     "any list of holders is agreed to": {"answer": agree_to_all},
     "a share is kept after a change": {
         "_shrink": lambda self: None,
         "held": lambda self, target: self._used.get(target, TargetCapacity()),
     },
     "a new VM trusts its first list": {"is_informed": lambda self, now: True},
-    "a cut-off VM keeps its share": {"_isolated": lambda self, now: None},
+    "a cut-off VM keeps its share": {"_is_cut_off": lambda self, now: None},
 }
 
 
@@ -360,7 +369,7 @@
                 revision=ask.revision,
                 holders=ask.holders,
             )
-            shares.reply(now=context.now, attempt=ask.attempt, reply=reply)
+            shares.on_reply(now=context.now, attempt=ask.attempt, reply=reply)
 
 
 def pass_time(context, seconds, cut=""):
@@ -371,7 +380,7 @@
 
 @when("VM d takes the place of c, which still uses 2")
 def step_replace(context):
-    context.shares["c"].use("t", TargetCapacity(connections=2))
+    context.shares["c"].record_usage("t", TargetCapacity(connections=2))
     context.shares["d"] = new_shares("d")
     see(context, "abd", "abcd")
     pass_time(context, 1)
@@ -392,7 +401,7 @@
 
 
 def deliver_until_served(context, name, ask):
-    """Take a question there and its answer back, until a serves and dies."""
+    """Deliver requests and replies until VM a has a share and dies."""
     if context.shares["a"].allowed("t") != TargetCapacity():
         return
     asker, other = context.shares[name], context.shares[ask.vm]
@@ -403,14 +412,14 @@
         revision=ask.revision,
         holders=ask.holders,
     )
-    asker.reply(now=context.now, attempt=ask.attempt, reply=reply)
-    for back in other.ask_back(now=context.now, vm=name):
+    asker.on_reply(now=context.now, attempt=ask.attempt, reply=reply)
+    for back in other.follow_up_requests(now=context.now, vm=name):
         deliver_until_served(context, ask.vm, back)
 
 
 @when("VM c has closed its connections")
 def step_closed(context):
-    context.shares["c"].use("t", TargetCapacity())
+    context.shares["c"].record_usage("t", TargetCapacity())
     pass_time(context, 1)
 
 
--- a/features/steps/silent_targets_steps.py
+++ b/features/steps/silent_targets_steps.py
@@ -1,4 +1,4 @@
-"""Steps on writes whose targets fall silent."""
+"""Steps on writes whose targets stop responding."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from bamboospring.blackboard import Group
 from bamboospring.blackboard import GroupRecord
 from bamboospring.blackboard import Vm
-from bamboospring.flights import Flight
-from bamboospring.flights import Flights
-from bamboospring.flights import SilenceWatch
+from bamboospring.in_flight import InFlightWrite
+from bamboospring.in_flight import InFlightWrites
+from bamboospring.in_flight import UnresponsiveTargetMonitor
 from bamboospring.testing.caller import CallerAnswer
 from bamboospring.testing.fleet import wait_until
 
@@ -45,9 +45,9 @@
     caller = caller_at(
         context.fleet, names[row % len(names)], deadline_ms=DEADLINE_MS
     )
-    begun = time.monotonic()
+    started_at = time.monotonic()
     answer = caller.write(GROUP, WRITE, [row])
-    return answer, time.monotonic() - begun
+    return answer, time.monotonic() - started_at
 
 
 @when(
@@ -68,7 +68,7 @@
 def then_told(context: Any, most: int) -> None:
     outcomes = [answer.outcome for answer, _ in context.answers]
     assert set(outcomes) <= {"unknown", "not_run"}, context.answers
-    # Each VM has one slot at the primary, and so has sent one.
+    # Each VM has one slot at the primary, so it has sent one write.
     sent = outcomes.count("unknown")
     assert 1 <= sent <= len(context.fleet.vms), context.answers
     slowest = max(seconds for _, seconds in context.answers)
@@ -86,7 +86,7 @@
     caller = caller_at(context.fleet, "vm-1", deadline_ms=2000)
 
     def written() -> bool:
-        # With an id of its own: a new one could be that of a write above.
+        # The id is fixed: a generated one could equal that of a write above.
         insert = "INSERT OR REPLACE INTO entries VALUES (500, 'after')"
         return caller.write(GROUP, insert).done
 
@@ -100,7 +100,7 @@
 
 
 class Timers:
-    """A clock that looks are due on."""
+    """A fake clock with timers that run one after the other."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -113,7 +113,7 @@
         self.due.append((self.time + seconds, work))
 
     def step(self) -> None:
-        """Go on to the next look."""
+        """Advance to the next timer and run it."""
         self.time, work = self.due.pop(0)
         work()
 
@@ -125,32 +125,32 @@
     me = Vm(name="vm-1", address="127.0.0.1:2", availability_zone="zone-a")
     context.timers = Timers()
     context.closed = []
-    flights = Flights()
-    SilenceWatch(
+    in_flight = InFlightWrites()
+    UnresponsiveTargetMonitor(
         reactor=context.timers,  # type: ignore[arg-type]
         board=Blackboard(local_vm=me, groups={GROUP: context.group}),
-        flights=flights,
+        in_flight=in_flight,
     )
-    context.flight = Flight()
-    context.flight.sent_on = SimpleNamespace(
+    context.write = InFlightWrite()
+    context.write.sent_on = SimpleNamespace(
         target=SimpleNamespace(name=TARGET),
         unresponsive=False,
         conn=SimpleNamespace(close=lambda: context.closed.append(1)),
     )
-    flights.add(GROUP, context.flight)
+    in_flight.add(GROUP, context.write)
 
 
-def look_for(context: Any, seconds: float, heard: bool) -> None:
+def run_checks(context: Any, seconds: float, responds: bool) -> None:
     end = context.timers.time + seconds
     while context.timers.time < end:
-        if heard:
+        if responds:
             context.group.state(TARGET).last_response_at = context.timers.time
         context.timers.step()
 
 
 @when("the target is heard all the time for {seconds:d} s")
 def when_heard(context: Any, seconds: int) -> None:
-    look_for(context, seconds, heard=True)
+    run_checks(context, seconds, responds=True)
 
 
 @when("the target is silent for 2 s at one look and heard before the next")
@@ -158,12 +158,12 @@
     state = context.group.state(TARGET)
     state.last_response_at = context.timers.time - 2.1
     context.timers.step()
-    look_for(context, 1, heard=True)
+    run_checks(context, 1, responds=True)
 
 
 @when("the target is silent for {seconds:d} s")
 def when_silent(context: Any, seconds: int) -> None:
-    look_for(context, seconds, heard=False)
+    run_checks(context, seconds, responds=False)
 
 
 @then("the write still waits")
@@ -174,4 +174,4 @@
 @then("the write's connection is closed as a silent one")
 def then_closed(context: Any) -> None:
     assert context.closed
-    assert context.flight.sent_on.unresponsive
+    assert context.write.sent_on.unresponsive
--- a/features/steps/silent_transaction_steps.py
+++ b/features/steps/silent_transaction_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a transaction whose connection goes silent."""
+"""Steps on a transaction whose connection stops passing data."""
 
 from __future__ import annotations
 
--- a/features/steps/target_exchange_steps.py
+++ b/features/steps/target_exchange_steps.py
@@ -1,4 +1,4 @@
-"""Steps on exchanges with targets over one connection, with fakes."""
+"""Steps on requests to targets over one connection, with fakes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeStream:
-    """A stream that notes whether it was closed."""
+    """A stream that records whether it was closed."""
 
     def __init__(self) -> None:
         self.closed = False
--- a/features/steps/transaction_steps.py
+++ b/features/steps/transaction_steps.py
@@ -30,7 +30,7 @@
 
 
 def read_handle(text: str) -> TransactionHandle:
-    """Return what a handle of the fleet says."""
+    """Decode a handle of the fleet."""
     keys = [
         SigningKey(id=key["id"], secret=key["secret"].encode())
         for key in TOKEN_KEYS
@@ -46,15 +46,15 @@
     return int(fleet.query(target, sql, [BODY])[0][0])
 
 
-def entry_apart(fleet: Fleet, holder: str = "") -> str:
-    """Return a VM that only forwards, and is not the one named."""
+def other_entry(fleet: Fleet, holder: str = "") -> str:
+    """Return a VM that is no holder of the group and is not `holder`."""
     return [name for name in fleet.not_holders(GROUP) if name != holder][0]
 
 
 def begin_and_write(context: Any) -> None:
-    """Begin a transaction through a mere entry and write a row in it."""
+    """Begin a transaction through a VM that only forwards; write a row."""
     fleet = context.fleet
-    context.entry = entry_apart(fleet)
+    context.entry = other_entry(fleet)
     context.caller = caller_at(fleet, context.entry)
     begun = context.caller.begin(GROUP)
     assert begun.done, begun
@@ -76,11 +76,11 @@
 )
 def when_moves(context: Any, amount: int) -> None:
     fleet = context.fleet
-    looker = Caller(entries=fleet.entries(), name="looker")
+    observer = Caller(entries=fleet.entries(), name="looker")
     context.seen = []
 
-    def look() -> None:
-        answer = looker.read(GROUP, AMOUNTS, staleness_ms=0)
+    def observe() -> None:
+        answer = observer.read(GROUP, AMOUNTS, staleness_ms=0)
         assert answer.done, answer
         context.seen.append(tuple(row[0] for row in answer.rows))
 
@@ -91,11 +91,11 @@
         answer = caller.statement(GROUP, handle, MOVE, [change, name])
         assert answer.done, answer
         handle = answer.transaction
-        look()
+        observe()
     caller.roam()
     answer = caller.commit(GROUP, handle)
     assert answer.done, answer
-    look()
+    observe()
 
 
 @then("the other session sees none of it until the commit and all after it")
@@ -159,7 +159,8 @@
     fleet.publish_vms(leaving=[context.holder])
 
     def seen() -> bool:
-        # A new write there is refused; a read would go elsewhere.
+        # The status is used because a new write there is refused and a read
+        # would be forwarded to another holder.
         status = Operator(fleet=fleet, vm=context.holder).call(
             "GET", "/status.json"
         )
@@ -192,7 +193,7 @@
 def then_no_row(context: Any) -> None:
     fleet = context.fleet
     other = caller_at(
-        fleet, entry_apart(fleet, context.entry), deadline_ms=10000
+        fleet, other_entry(fleet, context.entry), deadline_ms=10000
     )
     answer = other.write(GROUP, INSERT, ["another"])
     assert answer.done, answer
@@ -228,7 +229,7 @@
 @when("a transaction's statement is answered but the answer is lost")
 def when_answer_lost(context: Any) -> None:
     fleet = context.fleet
-    context.entry = entry_apart(fleet)
+    context.entry = other_entry(fleet)
     context.caller = caller_at(fleet, context.entry, deadline_ms=500)
     context.handle = context.caller.begin(GROUP).transaction
     link = f"entry:{context.entry}"
@@ -237,7 +238,7 @@
     assert answer.outcome == "lost", answer
     fleet.kill(context.entry)
     context.caller.roam(
-        list(fleet.vms).index(entry_apart(fleet, context.entry))
+        list(fleet.vms).index(other_entry(fleet, context.entry))
     )
 
 
@@ -249,9 +250,9 @@
 
 
 def run_keyed(caller: Caller, key: str, cut: Any = None) -> CallerAnswer:
-    """Run a whole transaction under a key.
+    """Run a whole transaction whose commit has a key.
 
-    Before the commit `cut` is called with the transaction's holder.
+    `cut` is called before the commit with the transaction's holder.
     """
     begun = caller.begin(GROUP)
     assert begun.done, begun
@@ -265,7 +266,7 @@
 @when("the commit of a transaction with key {key} loses its answer")
 def when_commit_lost(context: Any, key: str) -> None:
     fleet = context.fleet
-    context.entry = entry_apart(fleet)
+    context.entry = other_entry(fleet)
     caller = caller_at(fleet, context.entry, deadline_ms=800)
     held: list[str] = []
 
@@ -286,7 +287,7 @@
 def then_replay(context: Any, key: str) -> None:
     fleet = context.fleet
     caller = caller_at(
-        fleet, entry_apart(fleet, context.entry), deadline_ms=8000
+        fleet, other_entry(fleet, context.entry), deadline_ms=8000
     )
     answer = run_keyed(caller, key)
     assert answer.done and answer.replayed, answer
@@ -325,8 +326,8 @@
 @when("a transaction has written a row and another caller takes its handle")
 def when_other_takes(context: Any) -> None:
     begin_and_write(context)
-    thief = caller_at(context.fleet, context.entry, name="thief")
-    context.answer = thief.commit(GROUP, context.handle)
+    other_caller = caller_at(context.fleet, context.entry, name="thief")
+    context.answer = other_caller.commit(GROUP, context.handle)
 
 
 @then("the other caller is refused with no_transaction")
@@ -342,7 +343,7 @@
 
 
 def ask_numbers(fleet: Fleet, worker: int, deadline_ms: int) -> list[Any]:
-    """Ask for own numbers for a while; return (asked, answer) pairs."""
+    """Select distinct numbers; return pairs of number and answer."""
     caller = Caller(
         entries=fleet.entries(), entry_index=worker, deadline_ms=deadline_ms
     )
--- a/features/steps/wire_steps.py
+++ b/features/steps/wire_steps.py
@@ -1,4 +1,4 @@
-"""Properties of the messages of a statement's way, over generated cases."""
+"""Steps on the messages between entry and holder, with generated cases."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     write=st.booleans(),
     sql=texts,
     params=arrays,
-    # Eighths of a second are exact as milliseconds and as floats.
+    # Eighths of a second are exact both in milliseconds and as floats.
     deadline=st.integers(0, 400).map(lambda n: n / 8),
     step=st.sampled_from(StepKind),
     transaction=texts,
@@ -63,7 +63,7 @@
     token=st.builds(Position, term=whole, index=whole),
     staleness=st.none() | st.integers(0, 400).map(lambda n: n / 8),
     trace=texts,
-    settle=st.booleans(),
+    allow_primary=st.booleans(),
 )
 refusals = {
     "reason": st.sampled_from(Reason),
@@ -158,7 +158,7 @@
             except capnp.KjException:
                 pass
             except ValueError:
-                # So pycapnp says that it is not in whole words.
+                # pycapnp raises it for a size that is no multiple of a word.
                 assert len(each) % 8, each
 
     check()
@@ -255,7 +255,7 @@
 
 
 def read(message: Any) -> Statement | None:
-    """Return the statement, or None if it is refused as malformed."""
+    """Return the statement, or None if it is malformed."""
     try:
         return decode_statement(message, 0.0)
     except MessageError:
@@ -263,5 +263,5 @@
 
 
 def opened(message: Any) -> Any:
-    """Return the message as the other end of a link gets it."""
+    """Return the message as the receiver gets it."""
     return schema.Envelope.from_bytes(message.to_bytes())
--- a/features/wire.feature
+++ b/features/wire.feature
@@ -1,29 +1,30 @@
 Feature: Messages between the system's own processes
 
-  # An entry and a holder read another statement or another outcome than was
-  # sent, so that a caller gets what was not meant for it.
+  # The failure: an entry or a holder decodes another statement or outcome than
+  # was sent, and a caller gets a wrong answer.
   Scenario: What is sent is read alike at the other end
     Then every statement is read as it was sent
     And every outcome is read as it was sent
 
-  # Bytes from another version, or from a link that is out of step, reach a
-  # process. It must neither end nor take them for a statement: the link is
-  # dropped, and whoever waits on it is told that the answer is lost.
+  # A process receives bytes of another version, or of a link that has lost its
+  # framing. It must neither exit nor decode them as a statement. It closes the
+  # link, and requests that wait on it get a lost answer.
   Scenario: A malformed message is refused
     Then a head of other members is refused as malformed
     And a frame that was cut or changed is read or refused as malformed
 
-  # A holder's answer can't be read. The write may have run: its caller is told
-  # so at once instead of waiting for an answer that never comes.
+  # A holder's answer can't be decoded. The write may have run, so its caller
+  # gets an unknown outcome at once instead of waiting until its deadline.
   Scenario: A malformed answer is a lost answer
     Given an entry whose holder's answers cannot be read
     When a write has come
     Then it is answered as unknown with holder_lost
     And the link is given up
 
-  # A link is out of step, or something that is no VM speaks to the port. The
-  # link is closed, for nothing on it can be trusted any more: left open, the
-  # other end would wait for its deadlines. The process serves on.
+  # A link has lost its framing, or a client that is no VM connects to the
+  # port. The link must be closed, because nothing on it can be trusted and the
+  # other end would wait until its deadlines. The process must still serve
+  # callers.
   Scenario: Frames that are no messages
     Given a fleet of one VM
     When frames that are no messages come to its peers' port
