--- a/bamboospring/blackboard.py
+++ b/bamboospring/blackboard.py
@@ -1,8 +1,8 @@
-"""What this process knows, as plain data with the time of each fact.
+"""The state of this process as plain data, with the time of each fact.
 
-Adapters write facts here, controllers read them and answer with actions.
-Nothing in this module does I/O or asks for the time: every instant is a
-monotonic number of seconds that the adapter passes in.
+Adapters write facts to the blackboard; controllers read them and return
+actions. Nothing in this module does I/O or reads a clock: every instant is a
+monotonic time in seconds that the adapter passes in.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Role(str, Enum):
-    """What a target does in its group at its term."""
+    """The role of a target in its group at its term."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -37,7 +37,7 @@
 
 
 class Liveness(str, Enum):
-    """What the platform's list says of a VM."""
+    """The state of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Vm:
-    """One VM of the system, as the platform's list has it."""
+    """One VM, as recorded in the platform's list."""
 
     name: str
     address: str
@@ -56,11 +56,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Target:
-    """One member of a database group: where it is and what it allows.
+    """One member of a database group: its location and its limits.
 
-    `slots` is the number of statements that may execute at once and
-    `connections` the number of statement connections, over all holders.
-    `born` tells one life of the target from the next where it is known.
+    `slots` is the maximum number of statements that execute at once and
+    `connections` the maximum number of statement connections, summed over all
+    holders. `born` distinguishes successive processes of the target; 0 where
+    it is unknown.
     """
 
     name: str
@@ -82,16 +83,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupRecord:
-    """What has been agreed of a group in the platform's object.
-
-    `primary` is empty while a change of primary is under way. `starts` holds
-    the newest terms' opening entries, oldest first; a position of an older
-    term counts for at most the start of the next term, because entries
-    beyond it were never acknowledged and may be gone. `settled` names the
-    targets that the group had when its primary was last recorded, as far as
-    known; `torn` says that the targets were edited too far since then: a
-    majority of the old ones need not have any target in common with one of
-    the new.
+    """The agreed state of a group, as stored in the platform's object.
+
+    `primary` is empty during a change of primary. `starts` holds the opening
+    entries of the newest terms, oldest first; a position of an older term
+    counts for at most the start of the next term, because entries beyond it
+    were never acknowledged and may be lost. `settled` names the targets that
+    the group had when its primary was last recorded, if known.
+    `majority_overlap_lost` is true if the targets were edited so much since
+    then that a majority of the old ones and a majority of the new ones may
+    have no target in common.
     """
 
     name: str
@@ -106,12 +107,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class TargetState:
-    """What this process has last seen of a target.
+    """The last observed state of a target.
 
-    `seen_at` is when the target last answered, `asked_at` when that question
-    was sent: what an answer says was true no earlier than `asked_at`.
-    `fresh_at` is the newest instant at which the target is known to have
-    applied everything that its primary had then acknowledged.
+    `last_response_at` is when the target last answered and `asked_at` when
+    that request was sent: the answer was true no earlier than `asked_at`.
+    `caught_up_at` is the newest instant at which the target is known to have
+    applied everything that its primary had acknowledged by then.
     """
 
     name: str
@@ -131,9 +132,9 @@
 class TableRow:
     """One row of the operators' table.
 
-    Weights map a site to a share of the work, 0 to 100. A site that is not
-    named has weight 0; an empty mapping means that all sites are alike.
-    Limits of 0 mean: as the target allows.
+    Weights map a site to its share of the work, 0 to 100. A site that is not
+    listed has weight 0; an empty mapping gives all sites equal weight. A
+    limit of 0 means that the target's own limit applies.
     """
 
     group: str
@@ -147,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TableShard:
-    """Some rows of the table, accepted together under one version."""
+    """A shard of the table, whose rows share one version."""
 
     shard: int
     version: int = 0
@@ -156,12 +157,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Lease:
-    """The leadership of one bucket of groups as this process sees it.
+    """The lease of one bucket of groups, as observed by this process.
 
-    `valid_until` is set only for our own lease: the end of its life, counted
-    from before the renewal was sent. `seen_at` is when this version was
-    first seen here; another VM may take the lease over once the version has
-    not moved for the whole duration.
+    `valid_until` is set only for a lease of this VM: it is the expiry time,
+    counted from before the renewal was sent. `version_seen_at` is when this
+    version was first observed here; another VM may take the lease over once
+    the version has not changed for the whole duration.
     """
 
     bucket: int
@@ -174,13 +175,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Group:
-    """A database group: the agreed record and what was seen of its targets."""
+    """A database group: its record and its targets' observed states."""
 
     record: GroupRecord
     states: dict[str, TargetState] = field(default_factory=dict)
 
     def state(self, name: str) -> TargetState:
-        """Return what was seen of a target, creating an empty state."""
+        """Return a target's observed state; create an empty one if needed."""
         found = self.states.get(name)
         if found is None:
             found = self.states[name] = TargetState(name=name)
@@ -189,12 +190,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Blackboard:
-    """The one view of the world that all controllers of a process share.
+    """The state that all controllers of a process share.
 
-    `groups` has the records of the groups that this VM holds or may lead;
-    `group_names` has the names of all groups once `names_complete`; before, a
-    name that is not there may still be a group's. While `starting`, the facts
-    are not yet as new as an earlier life of this process may have had them.
+    `groups` has the records of the groups that this VM holds or may lead.
+    `group_names` has the names of all groups once `names_complete` is true;
+    before that, a group may exist although its name is missing. While
+    `starting` is true, the facts may be older than those that this process
+    had in force before its last restart.
     """
 
     local_vm: Vm
@@ -210,11 +212,11 @@
     draining: bool = False
 
     def knows_group(self, name: str) -> bool:
-        """Say whether there is a group of this name."""
+        """Return whether a group of this name is known."""
         return name in self.groups or name in self.group_names
 
     def row(self, group: str, shard: int) -> TableRow:
-        """Return the row in force for a group, or one that sets nothing."""
+        """Return the row in force for a group, or an empty row."""
         found = self.table.get(shard)
         row = found.rows.get(group) if found is not None else None
         return row if row is not None else TableRow(group=group)
--- a/bamboospring/change_actions.py
+++ b/bamboospring/change_actions.py
@@ -1,4 +1,4 @@
-"""What a change of primary asks of targets and of the platform."""
+"""Actions of a change of primary: orders to targets, calls to the platform."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class OrderKind(str, Enum):
-    """What a target is asked for."""
+    """The kind of a request to a target."""
 
     PROBE = "probe"
     PAUSE = "pause"
@@ -36,15 +36,15 @@
 class Order:
     """One request to a target.
 
-    `primary` is an address, for FOLLOW; `known` what the target said last,
-    for PROBE: one that still says so need not say it again.
+    `primary_address` is for FOLLOW. `known_probe` is for PROBE: the target's
+    last report, which the target need not send again if it is unchanged.
     """
 
     kind: OrderKind
     target: Target
     term: int = 0
-    primary: str = ""
-    known: ProbeResult | None = None
+    primary_address: str = ""
+    known_probe: ProbeResult | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupObject:
-    """The group's object as the platform showed it."""
+    """The group's object as the platform returned it."""
 
     name: str
     version: int
     value: dict[str, Any]
 
     def record(self) -> GroupRecord | None:
-        """Return it as a record, None when it is malformed."""
+        """Return the decoded record, or None if it is malformed."""
         return decode_group(self.name, self.version, self.value)
--- a/bamboospring/change_base.py
+++ b/bamboospring/change_base.py
@@ -1,6 +1,6 @@
-"""What every step of a change of primary needs: its state and its orders.
+"""State and order handling shared by all phases of a change of primary.
 
-An order that was not answered is sent again; each is idempotent at its term.
+Unanswered orders are sent again; each is idempotent at its term.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from bamboospring.commit import majority_size
 from bamboospring.target_api import ProbeResult
 
-__all__ = ["ChangeBase", "RESEND"]
+__all__ = ["ChangeBase", "RESEND_INTERVAL"]
 
-# Seconds. An order is sent again when its answer has not come.
-RESEND = 0.25
+# Seconds until an unanswered order is sent again.
+RESEND_INTERVAL = 0.25
 
 
 @dataclass(slots=True, kw_only=True)
 class _Sent:
     order: Order
-    at: float
+    sent_at: float
 
 
 class ChangeBase:
-    """The state of one change, and how it sends orders."""
+    """The state of one change and its outstanding orders."""
 
     def __init__(
         self,
@@ -51,46 +51,46 @@
         self.term = 0
         self.primary = ""
         self.record: GroupRecord | None = None
-        self.marks: list[tuple[ChangePhase, float]] = []
+        self.phase_starts: list[tuple[ChangePhase, float]] = []
         self._targets = {target.name: target for target in targets}
         self._object: GroupObject | None = None
         self._probes: dict[str, ProbeResult] = {}
-        self._probe_lost: set[str] = set()
+        self._unanswered_probes: set[str] = set()
         self._fenced: dict[str, ProbeResult] = {}
-        self._start = 0
-        self._pause_end = (0, 0)
-        self._phase_at = 0.0
-        self._majority_at: float | None = None
-        self._sent: dict[tuple[OrderKind, str], _Sent] = {}
+        self._term_start = 0
+        self._paused_log_end = (0, 0)
+        self._phase_started_at = 0.0
+        self._majority_fenced_at: float | None = None
+        self._unanswered_orders: dict[tuple[OrderKind, str], _Sent] = {}
         self._update: UpdateGroup | None = None
-        self._calling = False
-        self._call_again_at = 0.0
+        self._call_in_flight = False
+        self._next_call_at = 0.0
 
     @property
     def is_over(self) -> bool:
-        """Tell whether nothing more will be done."""
+        """Return whether the change has ended."""
         return self.phase in (ChangePhase.DONE, ChangePhase.ENDED)
 
     @property
     def latest_record(self) -> GroupRecord | None:
-        """Return the newest record that was seen, also after the end."""
+        """Return the newest record that was read, also after the end."""
         return self._object.record() if self._object is not None else None
 
     def _majority(self) -> int:
         return majority_size(len(self._targets))
 
-    def _enter(self, phase: ChangePhase, now: float) -> None:
+    def _enter_phase(self, phase: ChangePhase, now: float) -> None:
         self.phase = phase
-        self._phase_at = now
-        self._sent.clear()
-        self.marks.append((phase, now))
+        self._phase_started_at = now
+        self._unanswered_orders.clear()
+        self.phase_starts.append((phase, now))
 
     def _end(self, reason: str, now: float) -> list[Action]:
         self.reason = reason
-        self._enter(ChangePhase.ENDED, now)
+        self._enter_phase(ChangePhase.ENDED, now)
         return []
 
-    def _order(
+    def _make_order(
         self,
         kind: OrderKind,
         target: Target,
@@ -98,30 +98,34 @@
         term: int = 0,
         primary: str = "",
     ) -> Order:
-        order = Order(kind=kind, target=target, term=term, primary=primary)
-        self._sent[kind, target.name] = _Sent(order=order, at=now)
+        order = Order(
+            kind=kind, target=target, term=term, primary_address=primary
+        )
+        self._unanswered_orders[kind, target.name] = _Sent(
+            order=order, sent_at=now
+        )
         return order
 
     def _order_all(self, kind: OrderKind, now: float) -> list[Action]:
         return [
-            self._order(kind, target, now, self.term)
+            self._make_order(kind, target, now, self.term)
             for target in self._targets.values()
         ]
 
-    def _send_again(self, now: float) -> list[Action]:
+    def _resend_due(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        for sent in self._sent.values():
-            if now - sent.at >= RESEND:
-                sent.at = now
+        for sent in self._unanswered_orders.values():
+            if now - sent.sent_at >= RESEND_INTERVAL:
+                sent.sent_at = now
                 actions.append(sent.order)
-        waits = self.phase in (
+        awaits_object = self.phase in (
             ChangePhase.PROBE,
             ChangePhase.WIN,
             ChangePhase.RECORD,
         )
         has_read = self.phase is ChangePhase.PROBE and self._object is not None
-        if waits and not has_read and not self._calling:
-            if now >= self._call_again_at:
-                self._calling = True
+        if awaits_object and not has_read and not self._call_in_flight:
+            if now >= self._next_call_at:
+                self._call_in_flight = True
                 actions.append(ReadGroup())
         return actions
--- a/bamboospring/change_plan.py
+++ b/bamboospring/change_plan.py
@@ -1,4 +1,4 @@
-"""Why a primary is changed, and where a change stands."""
+"""Causes, phases and plans of changes of primary."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ChangeCause(str, Enum):
-    """Why a primary is changed."""
+    """The cause of a change of primary."""
 
     NO_PRIMARY = "no_primary"
     PRIMARY_FAILED = "primary_failed"
@@ -20,7 +20,7 @@
 
     @property
     def is_planned(self) -> bool:
-        """Tell whether the old primary works and writes can be paused."""
+        """Return whether the old primary works and can pause writes."""
         return self in (
             ChangeCause.ORDERED,
             ChangeCause.LEAVING,
@@ -29,7 +29,7 @@
 
 
 class ChangePhase(str, Enum):
-    """Where a change stands."""
+    """The phase of a change of primary."""
 
     PROBE = "probe"
     PAUSE = "pause"
@@ -44,20 +44,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangePlan:
-    """Why a primary is changed, and which targets to prefer, best first.
+    """The cause of a change and the preferred targets, best first.
 
-    `term` and `primary` are those of the record that was judged; the change
-    ends when the platform's differs. With `insist` it goes on although the
-    steward itself hears a primary that others take for failed.
+    `term` and `primary` are those of the record on which the decision is
+    based; the change ends if the platform's record differs. With
+    `ignore_primary_answer` the change continues although a primary that
+    others report as failed answers the steward.
     """
 
     cause: ChangeCause
     term: int
     primary: str
     preferred: tuple[str, ...] = ()
-    insist: bool = False
+    ignore_primary_answer: bool = False
 
     @property
-    def failed(self) -> str:
-        """Return the primary for which nobody waits, or empty."""
+    def failed_primary(self) -> str:
+        """Return the failed primary, which is not awaited, or empty."""
         return "" if self.cause.is_planned else self.primary
--- a/bamboospring/change_runner.py
+++ b/bamboospring/change_runner.py
@@ -1,6 +1,6 @@
-"""Carry out changes of primary: orders to targets, calls to the platform.
+"""Runs changes of primary: sends orders to targets and calls the platform.
 
-Before each order it looks whether the lease still holds.
+The lease is checked before each order.
 """
 
 from __future__ import annotations
@@ -34,26 +34,28 @@
 from bamboospring.target_api import ProbeResult
 from bamboospring.target_orders import send_order
 
-__all__ = ["ChangeRunner", "ROUND", "TICK"]
+__all__ = ["ChangeRunner", "PROBE_ROUND_INTERVAL", "TICK_INTERVAL"]
 
-TICK = 0.1
-CHANGE_TICK = 0.02
-# Each target of a led group is asked this often for its role and position, or
-# less often if that made more probes a second: a steward of 33 groups would
-# else spend more bytes on its rounds than a VM has for control altogether.
-ROUND = 2.0
-FIRST_RETRY = 0.1
-MAX_RETRY = 2.0
-# Connections over which a steward's changes reach the platform: enough that
-# the groups of a lost zone do not wait for each other at a slow platform.
-LANES = 8
+TICK_INTERVAL = 0.1
+CHANGE_TICK_INTERVAL = 0.02
+# How often each target of a led group is probed for its role and position. The
+# interval grows with the number of targets, so that the probes per second are
+# bounded: a steward of 33 groups would otherwise spend more bytes on probes
+# than a VM's whole budget for control traffic.
+PROBE_ROUND_INTERVAL = 2.0
+FIRST_RETRY_DELAY = 0.1
+MAX_RETRY_DELAY = 2.0
+# Number of connections over which a steward's changes call the platform, so
+# that the groups of a lost zone do not wait for each other if it is slow.
+PLATFORM_CONNECTIONS = 8
 
 
 class ChangeRunner:
     """Run the changes of all groups that a VM leads.
 
-    `round` is the steward's present time between looks at a group, `leads`
-    tells whether it may act for a group, `publish` spreads a record.
+    `probe_round_interval` is the steward's present interval between probes of
+    a group, `is_leader` returns whether it may act for a group, and `publish`
+    distributes a record.
     """
 
     def __init__(
@@ -62,106 +64,106 @@
         reactor: Reactor,
         board: Blackboard,
         platform: PlatformClient,
-        leads: Callable[[str], bool],
+        is_leader: Callable[[str], bool],
         publish: Callable[[GroupRecord], None],
-        chance: Callable[[], float],
+        random_float: Callable[[], float],
     ) -> None:
         self._reactor = reactor
         self._platform = platform
-        self._leads = leads
+        self._is_leader = is_leader
         self._publish = publish
-        self._chance = chance
+        self._random_float = random_float
         self._nonce = f"{board.local_vm.name}/{secrets.token_hex(6)}"
-        self._changes = 0
-        self.round = ROUND
+        self._change_count = 0
+        self.probe_round_interval = PROBE_ROUND_INTERVAL
 
     def begin(
         self,
         name: str,
         group: Group,
-        care: StewardGroupState,
+        state: StewardGroupState,
         plan: ChangePlan,
     ) -> None:
-        """Begin a change of the group's primary."""
+        """Start a change of the group's primary."""
         now = self._reactor.now()
-        self._changes += 1
+        self._change_count += 1
         change = PrimaryChange(
             group=name,
             targets=group.record.targets,
             plan=plan,
-            nonce=f"{self._nonce}/{self._changes}",
+            nonce=f"{self._nonce}/{self._change_count}",
         )
-        care.change = change
+        state.change = change
         logs.log_event(
             "primary_change_begins",
             group=name,
             cause=plan.cause.value,
             old=plan.primary,
             old_term=plan.term,
-            witnesses=self._witnesses(care, plan, now),
+            witnesses=self._witnesses(state, plan, now),
         )
-        self._apply(name, care, change.begin(now))
-        self._tick_change(name, care, change)
+        self._apply(name, state, change.begin(now))
+        self._tick_change(name, state, change)
 
     def _witnesses(
-        self, care: StewardGroupState, plan: ChangePlan, now: float
+        self, state: StewardGroupState, plan: ChangePlan, now: float
     ) -> str:
-        found = care.suspicions.witnesses(plan.primary, plan.term, now)
+        found = state.suspicions.valid_reports(plan.primary, plan.term, now)
         return ",".join(sorted(report.vm for report in found))
 
     def _tick_change(
-        self, name: str, care: StewardGroupState, change: PrimaryChange
+        self, name: str, state: StewardGroupState, change: PrimaryChange
     ) -> None:
-        if care.change is not change:
+        if state.change is not change:
             return
-        self._apply(name, care, change.tick(self._reactor.now()))
-        again = partial(self._tick_change, name, care, change)
-        self._reactor.call_later(CHANGE_TICK, again)
+        self._apply(name, state, change.tick(self._reactor.now()))
+        again = partial(self._tick_change, name, state, change)
+        self._reactor.call_later(CHANGE_TICK_INTERVAL, again)
 
     def _apply(
-        self, name: str, care: StewardGroupState, actions: list[Action]
+        self, name: str, state: StewardGroupState, actions: list[Action]
     ) -> None:
-        change = care.change
+        change = state.change
         if change is None:
             return
-        if not self._leads(name):
-            self.drop(name, care)
+        if not self._is_leader(name):
+            self.abandon(name, state)
             return
         for action in actions:
             match action:
                 case Order():
-                    self._order(name, care, change, action)
+                    self._send_order(name, state, change, action)
                 case ReadGroup():
-                    self._read(name, care, change)
+                    self._read_object(name, state, change)
                 case UpdateGroup():
-                    self._update(name, care, change, action)
-        if change.is_over and care.change is change:
-            self._finish(name, care, change)
+                    self._update_object(name, state, change, action)
+        if change.is_over and state.change is change:
+            self._finish(name, state, change)
 
-    def _order(
+    def _send_order(
         self,
         name: str,
-        care: StewardGroupState,
+        state: StewardGroupState,
         change: PrimaryChange,
         order: Order,
     ) -> None:
-        def answered(done: bool, probe: ProbeResult | None) -> None:
-            if care.change is not change:
+        def on_answer(done: bool, probe: ProbeResult | None) -> None:
+            if state.change is not change:
                 return
             now = self._reactor.now()
             if probe is None:
-                self._apply(name, care, change.on_no_answer(order, now))
+                self._apply(name, state, change.on_no_answer(order, now))
             else:
                 found = change.on_answer(order, done, probe, now)
-                self._apply(name, care, found)
+                self._apply(name, state, found)
 
-        send_order(self._reactor, order, answered)
+        send_order(self._reactor, order, on_answer)
 
-    def _read(
-        self, name: str, care: StewardGroupState, change: PrimaryChange
+    def _read_object(
+        self, name: str, state: StewardGroupState, change: PrimaryChange
     ) -> None:
         def on_result(result: Found | Missing | Unavailable) -> None:
-            if care.change is not change:
+            if state.change is not change:
                 return
             found = None
             if isinstance(result, Found):
@@ -169,21 +171,21 @@
                     name=name, version=result.version, value=result.value
                 )
             now = self._reactor.now()
-            self._apply(name, care, change.on_object_read(found, now))
+            self._apply(name, state, change.on_object_read(found, now))
 
-        self._platform.get("group", name, self._lane(name), on_result)
+        self._platform.get("group", name, self._purpose(name), on_result)
 
-    def _update(
+    def _update_object(
         self,
         name: str,
-        care: StewardGroupState,
+        state: StewardGroupState,
         change: PrimaryChange,
         update: UpdateGroup,
     ) -> None:
         def on_result(
             result: Stored | Conflict | Rejected | Unavailable,
         ) -> None:
-            if care.change is not change:
+            if state.change is not change:
                 return
             now = self._reactor.now()
             match result:
@@ -196,37 +198,42 @@
                     actions = change.on_conflict(found, now)
                 case _:
                     actions = change.on_update_unanswered(now)
-            self._apply(name, care, actions)
+            self._apply(name, state, actions)
 
         self._platform.put(
             "group",
             name,
             update.if_version,
             update.value,
-            self._lane(name),
+            self._purpose(name),
             on_result,
         )
 
-    def _lane(self, name: str) -> str:
-        return f"group/change-{shard_of(name) % LANES}"
+    def _purpose(self, name: str) -> str:
+        return f"group/change-{shard_of(name) % PLATFORM_CONNECTIONS}"
 
     def _finish(
-        self, name: str, care: StewardGroupState, change: PrimaryChange
+        self, name: str, state: StewardGroupState, change: PrimaryChange
     ) -> None:
-        care.change = None
-        care.probes.clear()
+        state.change = None
+        state.probes.clear()
         now = self._reactor.now()
         if change.latest_record is not None:
             self._publish(change.latest_record)
         if change.phase is ChangePhase.DONE:
-            care.failures = 0
-            care.ordered = ""
-            care.condemned_at = None
-            care.round_at = now - self.round + 2 * TICK
+            state.failed_changes = 0
+            state.ordered_target = ""
+            state.failed_since = None
+            state.last_round_at = (
+                now - self.probe_round_interval + 2 * TICK_INTERVAL
+            )
         else:
-            wait = min(MAX_RETRY, FIRST_RETRY * 2.0 ** min(care.failures, 8))
-            care.failures += 1
-            care.retry_at = now + wait * (0.5 + self._chance() / 2)
+            delay = min(
+                MAX_RETRY_DELAY,
+                FIRST_RETRY_DELAY * 2.0 ** min(state.failed_changes, 8),
+            )
+            state.failed_changes += 1
+            state.retry_at = now + delay * (0.5 + self._random_float() / 2)
         self._log_end(name, change, now)
 
     def _log_end(self, name: str, change: PrimaryChange, now: float) -> None:
@@ -242,24 +249,24 @@
             **_durations(change),
         )
 
-    def drop(self, name: str, care: StewardGroupState) -> None:
-        """Give up a change whose lease was lost."""
-        if care.change is None:
+    def abandon(self, name: str, state: StewardGroupState) -> None:
+        """Abandon a change because its lease was lost."""
+        if state.change is None:
             return
         logs.log_event(
             "primary_change_dropped",
             level=logs.Level.WARNING,
             group=name,
-            term=care.change.term,
-            phase=care.change.phase.value,
+            term=state.change.term,
+            phase=state.change.phase.value,
             reason="lease_lost",
         )
-        care.change = None
+        state.change = None
 
 
 def _durations(change: PrimaryChange) -> dict[str, float]:
-    """Return the milliseconds that each step took."""
-    marks = change.marks
+    """Return the duration of each phase in milliseconds."""
+    marks = change.phase_starts
     return {
         f"{phase.value}_ms": round((marks[place + 1][1] - at) * 1000, 1)
         for place, (phase, at) in enumerate(marks[:-1])
--- a/bamboospring/components.py
+++ b/bamboospring/components.py
@@ -1,9 +1,9 @@
-"""The base library's components, loaded without a scan of all packages.
+"""The classes of `circuits`, imported without a scan of all packages.
 
-`circuits` declares its namespace by `pkg_resources`, which for that looks at
-every package installed on the machine. While a VM starts its callers wait, and
-the scan takes a fifth of that time (`python3 -X importtime`). Everything here
-imports `circuits` through this module.
+`circuits` declares its namespace with `pkg_resources`, which scans every
+installed package when it is imported. Callers wait while a VM starts, and the
+scan takes a fifth of the startup time (`python3 -X importtime`). All modules
+import `circuits` through this one.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 __all__ = ["BaseComponent", "Component", "Event", "handler"]
 
-SCANNER = "pkg_resources"
+NAMESPACE_MODULE = "pkg_resources"
 
 
 def _load() -> types.ModuleType:
-    """Import `circuits`, with a stand-in for the scan if none was made yet.
+    """Import `circuits` with a stub of `pkg_resources` unless that is loaded.
 
-    Nothing else is meant to find the stand-in, so it is taken away again. The
-    namespace itself needs no declaring: all of it is in one place.
+    The stub is removed again, because no other module must find it. The
+    namespace needs no declaration, because all of it is in one directory.
     """
-    if SCANNER not in sys.modules:
-        stand_in = types.ModuleType(SCANNER)
-        setattr(stand_in, "declare_namespace", lambda name: None)
-        sys.modules[SCANNER] = stand_in
+    if NAMESPACE_MODULE not in sys.modules:
+        stub = types.ModuleType(NAMESPACE_MODULE)
+        setattr(stub, "declare_namespace", lambda name: None)
+        sys.modules[NAMESPACE_MODULE] = stub
     else:
-        stand_in = None
+        stub = None
     try:
         import circuits
     finally:
-        if stand_in is not None:
-            del sys.modules[SCANNER]
+        if stub is not None:
+            del sys.modules[NAMESPACE_MODULE]
     return circuits
 
 
--- a/bamboospring/drain.py
+++ b/bamboospring/drain.py
@@ -1,11 +1,12 @@
-"""Leave without cutting a request: the graceful shutdown on SIGTERM.
-
-First the process says that it leaves: it is not ready any more, so that the
-balancer sends callers elsewhere; peers are told, so that entries send their
-statements to other holders; as a holder it refuses new work as not run, which
-an entry takes to another holder at once; each answer closes its connection.
-It goes on listening meanwhile, because the balancer takes a while to notice.
-Then it waits for what is under way and ends.
+"""Graceful shutdown on SIGTERM, without cutting requests.
+
+First the process announces that it leaves. It is no longer ready, so the load
+balancer sends callers elsewhere. Peers are notified, so entries send their
+statements to other holders. As a holder it refuses new work as not run, which
+an entry then sends to another holder at once. Each answer closes its
+connection. The process continues to listen in this phase, because the load
+balancer notices only after a while. Then it waits for work in progress and
+exits.
 """
 
 from __future__ import annotations
@@ -27,17 +28,18 @@
 from bamboospring.peers import Peers
 from bamboospring.reactor import Reactor
 
-__all__ = ["Drain", "DrainPlan", "DrainPhase", "drain_phase"]
+__all__ = ["Drain", "DrainPhase", "DrainPlan", "drain_phase"]
 
 CHECK_INTERVAL = 0.05
-# Between the last word to the peers and the end: whatever an entry has sent
-# before it heard that word has then arrived and been refused as not run.
-FAREWELL = 0.3
+# Seconds between the last message to peers and the exit: statements that an
+# entry sent before it received that message have then arrived and been refused
+# as not run.
+FAREWELL_DELAY = 0.3
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class DrainPhase(Enum):
-    """How far a shutdown has come."""
+    """The phase of a shutdown."""
 
     NOTICE = "notice"
     FINISHING = "finishing"
@@ -48,10 +50,10 @@
 class DrainPlan:
     """The times of a shutdown, in seconds.
 
-    For `notice` seconds the process goes on taking connections. Callers'
-    connections on which nothing happens are kept for `patience` seconds
-    more: closing one at the instant at which its caller sends would cut that
-    request. After `limit` seconds it ends in any case.
+    For `notice_period` seconds the process still accepts connections. Idle
+    connections of callers are kept for another `idle_grace` seconds: closing
+    one at the instant at which its caller sends would cut that request. After
+    `max_duration` seconds the process exits in any case.
     """
 
     started_at: float
@@ -63,7 +65,7 @@
 def drain_phase(
     plan: DrainPlan, *, now: float, work: int, connections: int
 ) -> DrainPhase:
-    """Return the phase for what is under way and still connected."""
+    """Return the phase, given the work in progress and open connections."""
     elapsed = now - plan.started_at
     if elapsed >= plan.max_duration:
         return DrainPhase.FAREWELL
@@ -77,10 +79,10 @@
 
 
 class Drain(BaseComponent):
-    """End the process gracefully on SIGTERM, at once on a second one.
+    """End the process gracefully on SIGTERM, and at once on a second one.
 
-    Components that have something to hand over do it on `drain_started` and
-    name it with `wait_for`; the process then stays until it is done.
+    Components that must hand work over do so on `drain_started` and register
+    it with `wait_for`; the process does not exit before it is done.
     """
 
     channel = "*"
@@ -92,41 +94,41 @@
         board: Blackboard,
         peers: Peers,
         callers: HttpServer,
-        notice: float,
-        patience: float,
-        limit: float,
+        notice_period: float,
+        idle_grace: float,
+        max_duration: float,
     ) -> None:
         super().__init__()
         self._reactor = reactor
         self._board = board
         self._peers = peers
         self._callers = callers
-        self._notice = notice
-        self._patience = patience
-        self._limit = limit
+        self._notice_period = notice_period
+        self._idle_grace = idle_grace
+        self._max_duration = max_duration
         self._plan: DrainPlan | None = None
         self._work: dict[str, Callable[[], int]] = {}
         self.wait_for("callers", lambda: callers.busy)
 
     def wait_for(self, name: str, count: Callable[[], int]) -> None:
-        """Stay until `count` returns 0."""
+        """Delay the exit until `count` returns 0."""
         self._work[name] = count
 
     def begin(self) -> None:
-        """Start the shutdown; does nothing when it is under way."""
+        """Start the shutdown, unless it has started already."""
         if self._plan is not None:
             return
         self._plan = DrainPlan(
             started_at=self._reactor.now(),
-            notice_period=self._notice,
-            idle_grace=self._patience,
-            max_duration=self._limit,
+            notice_period=self._notice_period,
+            idle_grace=self._idle_grace,
+            max_duration=self._max_duration,
         )
         self._board.draining = True
         self._callers.draining = True
         self.fire(drain_started())
-        self._tell_peers()
-        logs.log_event("drain_started", work=self._counts())
+        self._notify_peers()
+        logs.log_event("drain_started", work=self._pending_work())
         self._reactor.call_later(CHECK_INTERVAL, self._check)
 
     @handler("signal", channel="*")
@@ -143,31 +145,35 @@
         phase = drain_phase(
             self._plan,
             now=self._reactor.now(),
-            work=sum(self._counts().values()),
+            work=sum(self._pending_work().values()),
             connections=len(self._callers.connections),
         )
         if phase is not DrainPhase.NOTICE:
             self._callers.listener.drain()
         if phase is DrainPhase.FAREWELL:
-            self._tell_peers()
-            self._reactor.call_later(FAREWELL, self._end)
+            self._notify_peers()
+            self._reactor.call_later(FAREWELL_DELAY, self._end)
         else:
             self._reactor.call_later(CHECK_INTERVAL, self._check)
 
     def _end(self) -> None:
         assert self._plan is not None
-        left = self._counts()
-        took = self._reactor.now() - self._plan.started_at
-        level = logs.Level.WARNING if any(left.values()) else logs.Level.INFO
-        logs.log_event("drain_ended", level=level, seconds=took, work=left)
+        remaining = self._pending_work()
+        elapsed = self._reactor.now() - self._plan.started_at
+        level = (
+            logs.Level.WARNING if any(remaining.values()) else logs.Level.INFO
+        )
+        logs.log_event(
+            "drain_ended", level=level, seconds=elapsed, work=remaining
+        )
         self._callers.drain()
         self._peers.close()
         self.root.stop()
 
-    def _counts(self) -> dict[str, int]:
+    def _pending_work(self) -> dict[str, int]:
         return {name: count() for name, count in self._work.items()}
 
-    def _tell_peers(self) -> None:
+    def _notify_peers(self) -> None:
         message = new_envelope()
         heartbeat = message.init("heartbeat")
         heartbeat.vm = self._board.local_vm.name
--- a/bamboospring/entry_facts.py
+++ b/bamboospring/entry_facts.py
@@ -1,9 +1,9 @@
-"""Bring an entry-only process what it has to know, from its main process.
+"""Keeps the facts of an entry-only process up to date from its main process.
 
-Those are the list of VMs, the table and the names of all groups; records of
-groups go to holders only. While the main process answers, nobody else is
-asked. While it does not, the same questions go to a few other VMs, as those
-of any VM would. The platform is never called.
+These are the list of VMs, the table and the names of all groups; group records
+go to holders only. While the main process answers, no other process is asked.
+While it does not, the same requests go to a few other VMs, as those of any VM
+would. The platform is never called.
 """
 
 from __future__ import annotations
@@ -37,13 +37,14 @@
 __all__ = ["EntryFacts"]
 
 ASK_TIMEOUT = 1.0
-FIRST_INTERVAL = 0.25
-# A new group is known here this much later than at the main process.
-NAMES_EVERY = 2
+STARTUP_INTERVAL = 0.25
+# The names of groups are requested with every second report, so a new group is
+# known here up to that much later than at the main process.
+NAMES_REQUEST_PERIOD = 2
 
 
-class _MainSync(PeerSync):
-    """Compare versions with whom `choose` names; announce to nobody."""
+class _EntryPeerSync(PeerSync):
+    """Compare versions with the VMs of `choose`; announce nothing."""
 
     def __init__(
         self, *, choose: Callable[[], tuple[Vm, ...]], **more: Any
@@ -56,14 +57,14 @@
         return self._choose()
 
     def announce(self) -> None:
-        """Tell nobody: whoever this process learns from has it already."""
+        """Do nothing: every source of this process already has its facts."""
 
 
 class EntryFacts(BaseComponent):
-    """Follow the main process named `main`, at its peers' address.
+    """Copy the facts of the main process `main`, over its peers' address.
 
-    `seeds` are other VMs' addresses to ask while it does not answer and no
-    list of VMs is known.
+    `seeds` are addresses of other VMs to ask while the main process does not
+    answer and the list of VMs is unknown.
     """
 
     channel = "*"
@@ -78,7 +79,7 @@
         membership: Membership,
         main: Vm,
         seeds: Sequence[str] = (),
-        chance: Callable[[], float] = random.random,
+        random_float: Callable[[], float] = random.random,
     ) -> None:
         super().__init__()
         self._reactor = reactor
@@ -87,12 +88,12 @@
         self._membership = membership
         self._main = main
         self._seeds = tuple(seeds)
-        self._chance = chance
+        self._random_float = random_float
         self._main_answers = True
-        self._main_ready = False
-        self._turn = 0
-        self._kept = -1
-        self._tried: set[str] = set()
+        self._is_main_ready = False
+        self._tick_count = 0
+        self._retained_revision = -1
+        self._compared: set[str] = set()
         self._answered: set[str] = set()
         board.starting = True
         self._placer = GroupPlacer(
@@ -104,7 +105,7 @@
             fire=self.fire,
             now=reactor.now,
         )
-        self.sync = _MainSync(
+        self.sync = _EntryPeerSync(
             choose=self._sources,
             reactor=reactor,
             board=board,
@@ -112,12 +113,12 @@
             store=self.store,
             membership=membership,
             interval=REPORT_INTERVAL,
-            chance=chance,
+            random_float=random_float,
         )
 
     @property
     def main_answers(self) -> bool:
-        """Say whether the main process answered the last report."""
+        """Return whether the main process answered the last report."""
         return self._main_answers
 
     @handler("started")
@@ -126,27 +127,27 @@
 
     @handler("drain_started")
     def _on_drain_started(self) -> None:
-        self._report()
+        self._report_to_main()
 
     def _tick(self) -> None:
-        self._report()
+        self._report_to_main()
         starting = self._board.starting
-        if starting or self._turn % NAMES_EVERY == 0:
-            self._ask_names()
-        self._turn += 1
-        wait = FIRST_INTERVAL if starting else REPORT_INTERVAL
-        wait *= 0.75 + self._chance() / 2
+        if starting or self._tick_count % NAMES_REQUEST_PERIOD == 0:
+            self._request_names()
+        self._tick_count += 1
+        wait = STARTUP_INTERVAL if starting else REPORT_INTERVAL
+        wait *= 0.75 + self._random_float() / 2
         self._reactor.call_later(wait, self._tick)
 
-    # Whom to ask.
+    # Sources.
 
     def _sources(self) -> tuple[Vm, ...]:
-        """Return the main process; others too where it may not suffice.
+        """Return the main process, and other VMs if it may not suffice.
 
-        At the start all are asked: a main process that has just been frozen
-        may have older versions than were in force here before a restart.
+        At startup all are asked: a main process that was frozen until now may
+        have older versions than were in force here before a restart.
         """
-        self._forget_gone()
+        self._retain_listed_vms()
         if self._main_answers and not self._board.starting:
             return (self._main,)
         others = choose_neighbours(
@@ -154,18 +155,18 @@
         )
         return (self._main, *others)
 
-    def _forget_gone(self) -> None:
-        if self._kept != self._board.vms_revision:
-            self._kept = self._board.vms_revision
+    def _retain_listed_vms(self) -> None:
+        if self._retained_revision != self._board.vms_revision:
+            self._retained_revision = self._board.vms_revision
             self._membership.retain_vms(self._board.vms)
 
-    def _report(self) -> None:
-        """Tell the main process that we are here, then compare."""
+    def _report_to_main(self) -> None:
+        """Report to the main process, then compare versions."""
 
-        def answered(answer: Any) -> None:
-            lost = isinstance(answer, PeerLost)
-            self._note_main(not lost)
-            self._main_ready = not lost and answer.process.ready
+        def on_answer(answer: Any) -> None:
+            is_lost = isinstance(answer, PeerLost)
+            self._record_main_answer(not is_lost)
+            self._is_main_ready = not is_lost and answer.process.ready
             self._compare()
 
         message = new_envelope()
@@ -173,9 +174,9 @@
         report.vm = self._board.local_vm.name
         report.address = self._board.local_vm.address
         report.draining = self._board.draining
-        self._peers.ask(self._main.address, message, ASK_TIMEOUT, answered)
+        self._peers.ask(self._main.address, message, ASK_TIMEOUT, on_answer)
 
-    def _note_main(self, answers: bool) -> None:
+    def _record_main_answer(self, answers: bool) -> None:
         if answers != self._main_answers:
             logs.log_event("main_process", vm=self._main.name, answers=answers)
         self._main_answers = answers
@@ -188,26 +189,28 @@
                 self.sync.compare_with(address)
 
     def _compare_with(self, vm: Vm) -> None:
-        # What was heard of a main process that was not ready does not count.
-        counts = vm.name != self._main.name or self._main_ready
+        # Facts of a main process that is not ready may be incomplete.
+        is_usable = vm.name != self._main.name or self._is_main_ready
 
-        def done(answered: bool) -> None:
-            self._tried.add(vm.name)
-            if answered and counts:
+        def on_complete(answered: bool) -> None:
+            self._compared.add(vm.name)
+            if answered and is_usable:
                 self._answered.add(vm.name)
-            self._judge_ready()
+            self._update_readiness()
 
-        self.sync.compare_with(vm.address, vm.name, done)
+        self.sync.compare_with(vm.address, vm.name, on_complete)
 
     # Names of groups.
 
-    def _ask_names(self) -> None:
+    def _request_names(self) -> None:
         sources = self._sources()
-        first = self._turn % len(sources) if not self._main_answers else 0
+        source_index = (
+            self._tick_count % len(sources) if not self._main_answers else 0
+        )
 
-        def answered(answer: Any) -> None:
+        def on_answer(answer: Any) -> None:
             if not isinstance(answer, PeerLost):
-                self._take_names(orjson.loads(answer.groupFact.record))
+                self._apply_names(orjson.loads(answer.groupFact.record))
 
         message = new_envelope()
         message.init("groupFact").record = orjson.dumps(
@@ -218,20 +221,22 @@
                 "digest": digest_versions({}),
             }
         )
-        self._peers.ask(sources[first].address, message, ASK_TIMEOUT, answered)
+        self._peers.ask(
+            sources[source_index].address, message, ASK_TIMEOUT, on_answer
+        )
 
-    def _take_names(self, body: dict[str, Any]) -> None:
+    def _apply_names(self, body: dict[str, Any]) -> None:
         self._board.group_names.update(body.get("names", ()))
         if body["complete"]:
             self._board.names_complete = True
-        # Placed by fewer names than elsewhere, some groups would be asked
-        # for at VMs that do not hold them.
+        # Until the groups are placed by the same names as at the other VMs,
+        # some statements would go to VMs that do not hold their group.
         self._placer.place()
-        self._judge_ready()
+        self._update_readiness()
 
-    # Getting ready.
+    # Startup.
 
-    def _judge_ready(self) -> None:
+    def _update_readiness(self) -> None:
         board = self._board
         if not board.starting or not board.vms:
             return
@@ -239,11 +244,15 @@
         answered = names & self._answered
         if self._main_answers and self._main.name not in answered:
             return
-        if not answered or not names <= self._tried or not self.sync.is_idle:
+        if (
+            not answered
+            or not names <= self._compared
+            or not self.sync.is_idle
+        ):
             return
         board.starting = False
         logs.log_event(
             "facts_ready",
-            table_from="main" if self._main_ready else "peers",
+            table_from="main" if self._is_main_ready else "peers",
             vms=len(board.vms),
         )
--- a/bamboospring/entry_only.py
+++ b/bamboospring/entry_only.py
@@ -1,8 +1,8 @@
-"""An entry-only process: takes callers for its VM and forwards to holders.
+"""An entry-only process: accepts callers of its VM and forwards to holders.
 
 It runs beside the VM's main process, which the operators' init system starts
 as usual, and shares the callers' address with it; docs/design/processes.md
-says why.
+gives the reasons.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from bamboospring.outcomes import Reason
 from bamboospring.process import Process
 from bamboospring.rendezvous import bucket_of
-from bamboospring.server_metrics import watch_process
+from bamboospring.server_metrics import add_process_metrics
 from bamboospring.settings import Settings
 from bamboospring.statements import Statement
 from bamboospring.status_view import StatusView
@@ -29,25 +29,25 @@
 __all__ = ["EntryOnly"]
 
 
-class _NoHolder:
-    """Refuses what comes to this process as to a holder.
+class _RejectingHolder:
+    """Refuses statements that are sent to this process as a holder.
 
-    Nothing does, unless a VM of the list has this process's name. Then the
-    entry tries the next holder, as nothing ran.
+    This occurs only if a VM of the list has the name of this process. The
+    entry then tries the next holder, because nothing ran.
     """
 
-    def run(self, stmt: Statement, done: OnOutcome) -> None:
+    def run(self, stmt: Statement, on_outcome: OnOutcome) -> None:
         """Refuse a statement."""
-        done(NotRun(reason=Reason.NOT_HOLDER))
+        on_outcome(NotRun(reason=Reason.NOT_HOLDER))
 
 
 class EntryOnly(Process):
-    """All that an entry-only process is made of."""
+    """The components of an entry-only process."""
 
     def __init__(self, cfg: Settings, path: str = "") -> None:
         super().__init__(cfg, path)
         assert cfg.entry.main is not None
-        self.entry = self._make_entry(_NoHolder())
+        self.entry = self._make_entry(_RejectingHolder())
         self.facts = EntryFacts(
             reactor=self.reactor,
             board=self.board,
@@ -75,7 +75,7 @@
             handle_table=self._refuse_table,
             hand_over=self._order_hand_over,
         )
-        watch_process(self)
+        add_process_metrics(self)
 
     def _refuse_table(self, req: Request, respond: Respond) -> bool:
         if not req.path.startswith("/table"):
--- a/bamboospring/entry_processes.py
+++ b/bamboospring/entry_processes.py
@@ -1,8 +1,8 @@
-"""A main process's list of the entry-only processes beside it.
+"""A main process's list of the entry-only processes on its VM.
 
-They report every few seconds. The main process tells them of news and names
-them to operators. Nothing else depends on them: they hold no group and stand
-in no list of VMs.
+They report every few seconds. The main process sends them announcements and
+shows them to operators. Nothing else depends on them: they hold no group and
+are in no list of VMs.
 """
 
 from __future__ import annotations
@@ -20,69 +20,71 @@
 __all__ = ["EntryProcesses", "REPORT_INTERVAL"]
 
 REPORT_INTERVAL = 2.0
-QUIET_AFTER = 3 * REPORT_INTERVAL
-# One that died is shown as silent for this long, so that an operator sees it.
-# One that said that it leaves is not missed.
-REMEMBERED = 600.0
+UNRESPONSIVE_AFTER = 3 * REPORT_INTERVAL
+# A process that died is shown as silent for this many seconds, so that an
+# operator sees it. A process that reported draining is dropped earlier.
+EXPIRY_SECONDS = 600.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Known:
-    """What an entry-only process last reported, and when."""
+class _ReportedProcess:
+    """The last report of an entry-only process and its time."""
 
     address: str
     draining: bool
-    heard_at: float
+    last_report_at: float
 
 
 class EntryProcesses:
-    """Know the entry-only processes of this VM from their reports."""
+    """Track the entry-only processes of this VM by their reports."""
 
     def __init__(
         self, *, board: Blackboard, peers: Peers, now: Callable[[], float]
     ) -> None:
         self._board = board
         self._now = now
-        self._known: dict[str, _Known] = {}
+        self._reported: dict[str, _ReportedProcess] = {}
         peers.add_handler("process", self._on_report)
 
-    def addresses(self) -> dict[str, str]:
-        """Return where to tell of news, by name: of those heard lately."""
-        self._forget()
-        oldest = self._now() - QUIET_AFTER
+    def live_addresses(self) -> dict[str, str]:
+        """Return by name the addresses of processes that reported recently."""
+        self._drop_expired()
+        received_after = self._now() - UNRESPONSIVE_AFTER
         return {
-            name: known.address
-            for name, known in self._known.items()
-            if known.heard_at >= oldest
+            name: reported.address
+            for name, reported in self._reported.items()
+            if reported.last_report_at >= received_after
         }
 
     def as_vms(self) -> list[Vm]:
-        """Return the processes that operators are to see."""
-        self._forget()
-        me = self._board.local_vm
+        """Return the processes to show to operators."""
+        self._drop_expired()
+        local_vm = self._board.local_vm
         return [
             Vm(
                 name=name,
-                address=known.address,
-                availability_zone=me.availability_zone,
-                region=me.region,
+                address=reported.address,
+                availability_zone=local_vm.availability_zone,
+                region=local_vm.region,
             )
-            for name, known in sorted(self._known.items())
+            for name, reported in sorted(self._reported.items())
         ]
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         now = self._now()
-        for name, known in list(self._known.items()):
-            kept = QUIET_AFTER if known.draining else REMEMBERED
-            if known.heard_at < now - kept:
-                del self._known[name]
+        for name, reported in list(self._reported.items()):
+            lifetime = (
+                UNRESPONSIVE_AFTER if reported.draining else EXPIRY_SECONDS
+            )
+            if reported.last_report_at < now - lifetime:
+                del self._reported[name]
 
     def _on_report(self, message: Any, reply: Reply) -> None:
         report = message.process
-        self._known[report.vm] = _Known(
+        self._reported[report.vm] = _ReportedProcess(
             address=report.address,
             draining=report.draining,
-            heard_at=self._now(),
+            last_report_at=self._now(),
         )
         if message.id == 0:
             return
--- a/bamboospring/events.py
+++ b/bamboospring/events.py
@@ -1,6 +1,6 @@
 """Events of the control plane, fired on the circuits manager.
 
-A statement's own way uses direct calls: an event costs about 11 us.
+The statement path uses direct calls instead: an event costs about 11 us.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 
 class placement_changed(Event):
-    """Other VMs hold some groups, because more names of groups are known."""
+    """The holders of some groups changed because more names are known."""
 
 
 class group_changed(Event):
-    """The blackboard has a newer record of the group named."""
+    """The blackboard has a newer record of the named group."""
 
 
 class group_doubted(Event):
-    """Something speaks against the record of the group named; read it."""
+    """The record of the named group may be outdated and must be read."""
 
 
 class table_changed(Event):
-    """The blackboard has a newer version of the table shard given."""
+    """The blackboard has a newer version of the given table shard."""
 
 
 class drain_started(Event):
-    """The process has been told to leave; take on nothing new."""
+    """The process is shutting down and accepts no new work."""
--- a/bamboospring/fact_store.py
+++ b/bamboospring/fact_store.py
@@ -1,7 +1,7 @@
-"""Put shared facts in force on the blackboard and tell who must know.
+"""Applies shared facts to the blackboard and fires the resulting events.
 
-All ways by which facts arrive (the platform, peers, our own updates) end
-here, so the rule that versions only rise stands in one place.
+Facts of all sources (the platform, peers, updates by this VM) are applied
+here, so the rule that versions only increase is enforced in one place.
 """
 
 from __future__ import annotations
@@ -35,7 +35,8 @@
 class FactStore:
     """The only writer of table, VMs and group records on the blackboard.
 
-    `on_change` is called after the table or the list of VMs has changed.
+    The callbacks in `on_change` are called after the table or the list of VMs
+    has changed.
     """
 
     def __init__(
@@ -51,10 +52,10 @@
         self.on_change: list[Callable[[], None]] = []
         self._fire = fire
         self._now = now
-        self._malformed: dict[int, int] = {}
+        self._malformed_versions: dict[int, int] = {}
 
     def apply_shard_value(self, name: str, version: int, value: Any) -> bool:
-        """Take a table shard's object; a malformed one is only logged."""
+        """Apply a table shard's object; a malformed one is only logged."""
         shard = int(name) if name.isdecimal() else -1
         if not 0 <= shard < SHARD_COUNT or value is None:
             return False
@@ -65,18 +66,18 @@
         return self.apply_shard(decoded)
 
     def apply_shard(self, shard: TableShard) -> bool:
-        """Put a table shard in force if it is newer."""
+        """Apply a table shard if it is newer."""
         if not apply_shard(self.board, shard):
             return False
         logs.log_event(
             "table_in_force", shard=shard.shard, version=shard.version
         )
         self._fire(table_changed(shard.shard))
-        self._changed()
+        self._notify_change()
         return True
 
     def apply_group(self, record: GroupRecord) -> bool:
-        """Take a group's record if it is newer."""
+        """Apply a group's record if it is newer."""
         if not apply_group(self.board, record):
             return False
         logs.log_event(
@@ -90,41 +91,41 @@
         return True
 
     def confirm_vms(self, revision: int) -> None:
-        """Note that the platform has been read and has this list."""
+        """Record that the platform was read and has this list."""
         if revision == self.board.vms_revision:
             self.board.vms_confirmed_at = self._now()
 
     def apply_vms(self, revision: int, values: Iterable[Any]) -> bool:
-        """Take a list of VMs, given as JSON objects, if it is newer."""
+        """Apply a list of VMs, given as JSON objects, if it is newer."""
         if revision <= self.board.vms_revision:
-            # Also an equal list is news: the platform is being read.
+            # An equal list also shows that the platform has been read.
             apply_vms(self.board, revision, (), self._now())
             return False
         vms = [vm for vm in map(decode_vm, values) if vm is not None]
         apply_vms(self.board, revision, vms, self._now())
-        self._place(vms)
+        self._update_placement(vms)
         logs.log_event("vms", revision=revision, vms=len(vms))
         self._fire(vms_changed())
-        self._changed()
+        self._notify_change()
         return True
 
-    def note_placement(self) -> None:
-        """Tell this process that holders have changed, not the VMs."""
+    def announce_placement(self) -> None:
+        """Fire the event that holders changed without a change of VMs."""
         self._fire(placement_changed())
 
-    def _place(self, vms: list[Vm]) -> None:
-        # Sorted, because rendezvous order must not depend on list order.
+    def _update_placement(self, vms: list[Vm]) -> None:
+        # Sorted, because the placement must not depend on the list's order.
         self.placement.set_vms(sorted(vms, key=lambda vm: vm.name))
 
-    def _changed(self) -> None:
+    def _notify_change(self) -> None:
         for callback in self.on_change:
             callback()
 
     def _log_malformed(self, shard: int, version: int) -> None:
-        """Log a malformed version once, not at each repair."""
-        if self._malformed.get(shard) == version:
+        """Log each malformed version once, not at every repair."""
+        if self._malformed_versions.get(shard) == version:
             return
-        self._malformed[shard] = version
+        self._malformed_versions[shard] = version
         logs.log_event(
             "table_malformed",
             level=logs.Level.ERROR,
--- a/bamboospring/fact_versions.py
+++ b/bamboospring/fact_versions.py
@@ -1,10 +1,10 @@
-"""What of the shared facts is newer, and what a process may take.
+"""Versions of the shared facts, and updates to newer versions.
 
 A shared fact is a table shard, a group's record or the list of VMs. Each has
-a version that the platform gave it. Nothing here ever replaces a fact by one
-of a lower version, whoever offers it: a peer that was frozen, a watch that
-lags and a copy kept through an outage all offer old facts, and an accepted
-edit must not go out of force again.
+a version assigned by the platform. A fact is never replaced by a lower
+version, whatever its source: a peer that was frozen, a lagging watch and a
+copy kept during an outage all offer old facts, and an accepted edit must stay
+in force.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from bamboospring.rendezvous import SHARD_COUNT
 
 __all__ = [
-    "NewerFacts",
     "FactVersions",
-    "versions_digest",
-    "newer_facts",
+    "NewerFacts",
     "apply_group",
     "apply_shard",
     "apply_vms",
     "fact_versions",
+    "newer_facts",
+    "versions_digest",
 ]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FactVersions:
-    """The versions that a process has; 0 is "none"."""
+    """The versions that a process has; 0 if it has none."""
 
     vms_revision: int
     shards: tuple[int, ...]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NewerFacts:
-    """What one process has in a higher version than another."""
+    """The facts of which one process has a higher version than another."""
 
     vms: bool
     shards: tuple[int, ...]
@@ -63,17 +63,17 @@
 
 
 def versions_digest(versions: FactVersions) -> int:
-    """Return a number that is the same for the same versions, never 0.
+    """Return a 64-bit digest of versions, which is never 0.
 
-    64 bits: two that differ by chance look the same once in 10^19 times, and
-    only until the next edit.
+    Different versions collide with a probability of 1 in 10^19, and only until
+    the next edit.
     """
     numbers = (versions.vms_revision, *versions.shards)
     return xxh64_intdigest(" ".join(map(str, numbers)).encode()) or 1
 
 
 def newer_facts(mine: FactVersions, theirs: FactVersions) -> NewerFacts:
-    """Return what they have in a higher version."""
+    """Return the facts of which `theirs` has the higher version."""
     pairs = enumerate(zip(mine.shards, theirs.shards, strict=False))
     return NewerFacts(
         vms=theirs.vms_revision > mine.vms_revision,
@@ -82,7 +82,7 @@
 
 
 def apply_shard(board: Blackboard, shard: TableShard) -> bool:
-    """Put a table shard in force if it is newer; say whether it was."""
+    """Apply a table shard if it is newer; return whether it was."""
     known = board.table.get(shard.shard)
     if known is not None and shard.version <= known.version:
         return False
@@ -91,7 +91,7 @@
 
 
 def apply_group(board: Blackboard, record: GroupRecord) -> bool:
-    """Take a group's record if it is newer; say whether it was."""
+    """Apply a group's record if it is newer; return whether it was."""
     group = board.groups.get(record.name)
     if group is None:
         board.groups[record.name] = Group(record=record)
@@ -109,7 +109,7 @@
 def apply_vms(
     board: Blackboard, revision: int, vms: Iterable[Vm], now: float
 ) -> bool:
-    """Take a list of VMs if it is newer; say whether it was."""
+    """Apply a list of VMs if it is newer; return whether it was."""
     if revision == board.vms_revision:
         board.vms_confirmed_at = now
     if revision <= board.vms_revision:
--- a/bamboospring/group_placer.py
+++ b/bamboospring/group_placer.py
@@ -1,4 +1,4 @@
-"""Spread the groups evenly over the VMs once the names of all are known."""
+"""Incremental placement of all groups once their names are known."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 __all__ = ["GroupPlacer"]
 
-# To rank the VMs for all groups at once would stop the process at its start,
-# and callers would wait for it.
-PLACED_AT_ONCE = 20
-PLACE_PAUSE = 0.01
+# Ranking the VMs for all groups at once would block the process at its start
+# and delay callers.
+GROUPS_PER_STEP = 20
+STEP_DELAY = 0.01
 
 
 class GroupPlacer:
-    """Gives a placement the names of groups, a few at a time.
+    """Places groups in small steps.
 
-    With some names only, other VMs would be passed over than elsewhere; so
+    With incomplete names, this VM would skip other VMs than its peers do, so
     nothing is placed before the names are complete. `on_placed` is called
     when holders may have changed.
     """
@@ -39,14 +39,14 @@
         self._placing = False
 
     def place(self) -> None:
-        """Place the groups that are known now, unless that is under way."""
+        """Place the known groups, unless a placement is in progress."""
         if self._placing or not self._board.names_complete:
             return
         version = self._placement.version
         self._placement.set_groups(self._board.group_names)
-        self._placing = not self._placement.prepare(PLACED_AT_ONCE)
+        self._placing = not self._placement.prepare(GROUPS_PER_STEP)
         if self._placing:
-            self._reactor.call_later(PLACE_PAUSE, self._place_more)
+            self._reactor.call_later(STEP_DELAY, self._place_more)
         elif version != self._placement.version:
             self._on_placed()
 
--- a/bamboospring/group_sync.py
+++ b/bamboospring/group_sync.py
@@ -1,11 +1,11 @@
-"""Bring each group's record to the VMs that need it.
-
-Those are the group's holders and the candidates for the lease of its bucket.
-The fleet's watchers have all records, as JSON. They send a changed record to
-those who need it at once, and answer each VM's regular question about its
-groups, which repairs what was lost. A VM that has a newer record than a
-watcher gives it back, so an outage of the platform during which watchers
-restart loses none.
+"""Distributes group records to the VMs that need them.
+
+These are the group's holders and the candidates for the lease of its bucket.
+The platform watchers have all records, as JSON. They send a changed record at
+once to the VMs that need it, and answer the periodic requests of each VM for
+its groups, which make up for lost messages. A VM with a newer record than a
+watcher sends it to the watcher, so that no record is lost if watchers restart
+during an outage of the platform.
 """
 
 from __future__ import annotations
@@ -44,10 +44,11 @@
 
 ASK_TIMEOUT = 1.0
 REPAIR_INTERVAL = 4.0
-# Questions of the whole fleet to its watchers, each second; in a large fleet
-# a VM asks the more seldom, since news comes by itself unless it was lost.
+# Maximum requests per second of the whole fleet to its watchers. In a large
+# fleet each VM asks less often, because changed records are sent without a
+# request unless a message is lost.
 QUESTIONS_PER_SECOND = 48.0
-FIRST_RETRY = 0.2
+UNSYNCED_INTERVAL = 0.2
 
 
 def vms_needing_group(placement: Placement, group: str) -> set[str]:
@@ -58,18 +59,18 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Known:
-    """A record as the platform has it."""
+class _StoredRecord:
+    """A group's object as stored by the platform."""
 
     version: int
     value: Any
 
 
 class GroupSync:
-    """Ask for, send and answer for group records.
+    """Request, send and serve group records.
 
-    `synced` says that this VM has been told of all its groups once; until
-    then a group that it does not know may well exist.
+    `is_synced` is true once this VM has been told of all its groups; until
+    then a group that it does not know may exist.
     """
 
     def __init__(
@@ -81,131 +82,132 @@
         peers: Peers,
         platform: PlatformClient,
         store: FactStore,
-        chance: Callable[[], float] = random.random,
+        random_float: Callable[[], float] = random.random,
     ) -> None:
-        self.synced = False
+        self.is_synced = False
         self._reactor = reactor
         self._board = board
         self._placement = placement
         self._peers = peers
         self._platform = platform
         self._store = store
-        self._chance = chance
-        self._all: dict[str, _Known] = {}
-        self._index: dict[str, set[str]] = {}
-        self._index_of = (-1, -1)
+        self._random_float = random_float
+        self._records: dict[str, _StoredRecord] = {}
+        self._groups_by_vm: dict[str, set[str]] = {}
+        self._index_version = (-1, -1)
         self._reading: set[str] = set()
-        self._turn = 0
+        self._watcher_index = 0
         self._asking = False
         self._placer = GroupPlacer(
             reactor=reactor,
             board=board,
             placement=placement,
-            on_placed=lambda: self._store.note_placement(),
+            on_placed=lambda: self._store.announce_placement(),
         )
         peers.add_handler("groupFact", self._on_group_fact)
 
     def start(self) -> None:
-        """Ask a watcher now, then at each interval."""
+        """Ask a watcher now and then periodically."""
         self.ask()
         interval = len(self._board.vms) / QUESTIONS_PER_SECOND
         interval = max(REPAIR_INTERVAL, interval)
-        wait = interval if self.synced else FIRST_RETRY
-        wait *= 0.75 + self._chance() / 2
+        wait = interval if self.is_synced else UNSYNCED_INTERVAL
+        wait *= 0.75 + self._random_float() / 2
         self._reactor.call_later(wait, self.start)
 
-    def take_objects(self, objects: Iterable[Found]) -> None:
-        """Take records that the platform has told this watcher of."""
-        self._note_synced()
+    def apply_objects(self, objects: Iterable[Found]) -> None:
+        """Apply records that this watcher received from the platform."""
+        self._mark_synced()
         for item in objects:
-            if self._learn(item.name, item.version, item.value):
+            if self._store_if_newer(item.name, item.version, item.value):
                 self._send_to_needing(item.name)
         self._placer.place()
 
     def publish(self, record: GroupRecord) -> None:
-        """Take and spread a record that this VM has just stored."""
+        """Apply and distribute a record that this VM has just stored."""
         self._store.apply_group(record)
-        self._learn(record.name, record.version, encode_group(record))
+        self._store_if_newer(record.name, record.version, encode_group(record))
         self._placer.place()
         self._send_to_needing(record.name)
 
     def read(self, name: str) -> None:
-        """Read one record at the platform, unless that is under way."""
+        """Read one record from the platform, unless a read is in progress."""
         if name in self._reading:
             return
         self._reading.add(name)
 
-        def answered(result: Found | Missing | Unavailable) -> None:
+        def on_result(result: Found | Missing | Unavailable) -> None:
             self._reading.discard(name)
             if isinstance(result, Found):
-                self._learn(name, result.version, result.value)
+                self._store_if_newer(name, result.version, result.value)
 
-        self._platform.get("group", name, "group", answered)
+        self._platform.get("group", name, "group", on_result)
 
     def follow_placement(self) -> None:
-        """Bring records to the VMs that need them since the VMs changed."""
+        """Send records to VMs that need them after a change of placement."""
         self.ask()
-        self._take_needed()
-        before = self._index
+        self._apply_needed()
+        before = self._groups_by_vm
         if not before:
             return
-        self._needed_by(self._board.local_vm.name)
-        for vm, names in self._index.items():
+        self._groups_needed_by(self._board.local_vm.name)
+        for vm, names in self._groups_by_vm.items():
             added = names - before.get(vm, set())
             if added and vm != self._board.local_vm.name:
                 self._send(vm, added)
 
     def ask(self) -> None:
-        """Ask a watcher for records that we need and lack."""
+        """Ask a watcher for records that this VM needs and lacks."""
         watchers = self._other_watchers()
         if not self._asking and watchers:
-            vm = watchers[self._turn % len(watchers)]
-            self._ask(vm, whole=not self.synced)
+            vm = watchers[self._watcher_index % len(watchers)]
+            self._ask_vm(vm, full=not self.is_synced)
 
-    def _ask(self, vm: Vm, *, whole: bool) -> None:
+    def _ask_vm(self, vm: Vm, *, full: bool) -> None:
         self._asking = True
 
-        def answered(answer: Any) -> None:
+        def on_answer(answer: Any) -> None:
             self._asking = False
             if isinstance(answer, PeerLost):
-                self._turn += 1
+                self._watcher_index += 1
                 return
             body = orjson.loads(answer.groupFact.record)
             if body.get("same") is False:
-                self._ask(vm, whole=True)
-            self._take_answer(vm, body)
+                self._ask_vm(vm, full=True)
+            self._apply_answer(vm, body)
 
-        message = _message(self._question(whole))
-        self._peers.ask(vm.address, message, ASK_TIMEOUT, answered)
+        message = _message(self._request_body(full))
+        self._peers.ask(vm.address, message, ASK_TIMEOUT, on_answer)
 
-    # What is known.
+    # Known records.
 
-    def _take_needed(self) -> None:
-        """Put in force what was told before we knew that we need it.
+    def _apply_needed(self) -> None:
+        """Apply stored records that this VM has come to need.
 
-        News may overtake the list of VMs. Without this the record would be
-        known here, so that no question brings it again, and never in force.
+        A record may arrive before the list of VMs by which it is needed.
+        Without this the record would be stored here, so that no request
+        fetches it again, but never put in force.
         """
-        for name, known in self._all.items():
+        for name, known in self._records.items():
             if self._board.local_vm.name in vms_needing_group(
                 self._placement, name
             ):
-                self._take(name, known.version, known.value)
+                self._apply_record(name, known.version, known.value)
 
-    def _learn(self, name: str, version: int, value: Any) -> bool:
-        """Keep a record if it is newer; put it in force if we need it."""
-        known = self._all.get(name)
+    def _store_if_newer(self, name: str, version: int, value: Any) -> bool:
+        """Store a record if it is newer; apply it if this VM needs it."""
+        known = self._records.get(name)
         if value is None or (known and version <= known.version):
             return False
-        self._all[name] = _Known(version=version, value=value)
+        self._records[name] = _StoredRecord(version=version, value=value)
         self._board.group_names.add(name)
         if self._board.local_vm.name in vms_needing_group(
             self._placement, name
         ):
-            self._take(name, version, value)
+            self._apply_record(name, version, value)
         return True
 
-    def _take(self, name: str, version: int, value: Any) -> None:
+    def _apply_record(self, name: str, version: int, value: Any) -> None:
         record = decode_group(name, version, value)
         if record is not None:
             self._store.apply_group(record)
@@ -217,15 +219,15 @@
             version=version,
         )
 
-    def _needed_by(self, vm: str) -> set[str]:
-        state = (self._placement.version, len(self._all))
-        if state != self._index_of:
-            self._index = {}
-            for name in self._all:
+    def _groups_needed_by(self, vm: str) -> set[str]:
+        state = (self._placement.version, len(self._records))
+        if state != self._index_version:
+            self._groups_by_vm = {}
+            for name in self._records:
                 for needing in vms_needing_group(self._placement, name):
-                    self._index.setdefault(needing, set()).add(name)
-            self._index_of = state
-        return self._index.get(vm, set())
+                    self._groups_by_vm.setdefault(needing, set()).add(name)
+            self._index_version = state
+        return self._groups_by_vm.get(vm, set())
 
     # Sending.
 
@@ -236,111 +238,117 @@
 
     def _send(self, vm: str, names: Iterable[str]) -> None:
         found = self._board.vms.get(vm)
-        facts = self._facts(names, {})
+        facts = self._newer_records(names, {})
         if found is not None and facts:
             self._peers.send(found.address, _message({"facts": facts}))
 
-    def _facts(
-        self, names: Iterable[str], have: dict[str, int]
+    def _newer_records(
+        self, names: Iterable[str], known_versions: dict[str, int]
     ) -> list[dict[str, Any]]:
-        """Return those of our records that somebody has not or older."""
+        """Return the records that are newer than the known versions."""
         return [
             {"name": name, "version": known.version, "value": known.value}
             for name in names
-            if (known := self._known(name)) is not None
-            and known.version > have.get(name, 0)
+            if (known := self._stored_record(name)) is not None
+            and known.version > known_versions.get(name, 0)
         ]
 
-    def _known(self, name: str) -> _Known | None:
-        known = self._all.get(name)
+    def _stored_record(self, name: str) -> _StoredRecord | None:
+        known = self._records.get(name)
         group = self._board.groups.get(name)
         if known is None and group is not None:
             record = group.record
             value = encode_group(record)
-            return _Known(version=record.version, value=value)
+            return _StoredRecord(version=record.version, value=value)
         return known
 
-    # Questions and answers.
+    # Requests and answers.
 
-    def _question(self, whole: bool) -> dict[str, Any]:
-        """Return a question: by digest, or `whole` with all versions."""
-        have = self._have()
-        question: dict[str, Any] = {
+    def _request_body(self, full: bool) -> dict[str, Any]:
+        """Return a request with a digest or, if `full`, with all versions."""
+        known_versions = self._known_versions()
+        request: dict[str, Any] = {
             "vm": self._board.local_vm.name,
             "names": digest_names(self._board.group_names),
-            # A watcher that the platform does not answer copies the others.
-            "all": self._is_watcher() and not self.synced,
+            # A watcher that gets no answer from the platform copies the
+            # records of the other watchers.
+            "all": self._is_watcher() and not self.is_synced,
         }
-        if whole:
-            question["have"] = have
+        if full:
+            request["have"] = known_versions
         else:
-            needed = self._needed_here(have)
-            question["digest"] = digest_versions(needed)
-        return question
+            needed = self._needed_versions(known_versions)
+            request["digest"] = digest_versions(needed)
+        return request
 
-    def _note_synced(self) -> None:
-        self.synced = True
+    def _mark_synced(self) -> None:
+        self.is_synced = True
         self._board.names_complete = True
 
-    def _have(self) -> dict[str, int]:
+    def _known_versions(self) -> dict[str, int]:
         groups = self._board.groups.items()
-        have = {name: group.record.version for name, group in groups}
-        return have | {n: known.version for n, known in self._all.items()}
+        versions = {name: group.record.version for name, group in groups}
+        return versions | {
+            n: known.version for n, known in self._records.items()
+        }
 
-    def _needed_here(self, have: dict[str, int]) -> dict[str, int]:
-        me = self._board.local_vm.name
+    def _needed_versions(
+        self, known_versions: dict[str, int]
+    ) -> dict[str, int]:
+        local_name = self._board.local_vm.name
         return {
             name: version
-            for name, version in have.items()
-            if me in vms_needing_group(self._placement, name)
+            for name, version in known_versions.items()
+            if local_name in vms_needing_group(self._placement, name)
         }
 
-    def _answer(self, question: dict[str, Any]) -> dict[str, Any]:
-        needed = self._needed_by(question["vm"])
-        answer: dict[str, Any] = {"complete": self.synced}
-        if question["names"] != digest_names(self._board.group_names):
+    def _answer_body(self, request: dict[str, Any]) -> dict[str, Any]:
+        needed = self._groups_needed_by(request["vm"])
+        answer: dict[str, Any] = {"complete": self.is_synced}
+        if request["names"] != digest_names(self._board.group_names):
             answer["names"] = sorted(self._board.group_names)
-        if "digest" in question:
-            ours = {name: self._version(name) for name in needed}
-            answer["same"] = question["digest"] == digest_versions(ours)
+        if "digest" in request:
+            versions = {name: self._version(name) for name in needed}
+            answer["same"] = request["digest"] == digest_versions(versions)
             return answer
-        have = question["have"]
-        names = self._all if question["all"] else needed
-        answer["facts"] = self._facts(names, have)
+        known_versions = request["have"]
+        names = self._records if request["all"] else needed
+        answer["facts"] = self._newer_records(names, known_versions)
         answer["want"] = [
             name
-            for name, version in have.items()
+            for name, version in known_versions.items()
             if version > self._version(name)
         ]
         return answer
 
     def _version(self, name: str) -> int:
-        known = self._known(name)
+        known = self._stored_record(name)
         return known.version if known is not None else 0
 
-    def _take_answer(self, vm: Vm, body: dict[str, Any]) -> None:
+    def _apply_answer(self, vm: Vm, body: dict[str, Any]) -> None:
         for item in body.get("facts", ()):
-            self._learn(item["name"], item["version"], item["value"])
+            self._store_if_newer(item["name"], item["version"], item["value"])
         self._board.group_names.update(body.get("names", ()))
         if body["complete"]:
-            # An answer to a digest says nothing to one that knows nothing.
+            # An answer to a digest has no records, so it does not show that
+            # this VM has all of them.
             if "facts" in body:
-                self._note_synced()
+                self._mark_synced()
         else:
-            # One that has just started knows less than another may.
-            self._turn += 1
+            # A watcher that has just started may know less than another.
+            self._watcher_index += 1
         self._placer.place()
         if body.get("want"):
-            facts = self._facts(body["want"], {})
+            facts = self._newer_records(body["want"], {})
             self._peers.send(vm.address, _message({"facts": facts}))
 
     def _on_group_fact(self, message: Any, reply: Reply) -> None:
         body = orjson.loads(message.groupFact.record)
         if message.id != 0:
-            reply(_message(self._answer(body)))
+            reply(_message(self._answer_body(body)))
             return
         for item in body["facts"]:
-            self._learn(item["name"], item["version"], item["value"])
+            self._store_if_newer(item["name"], item["version"], item["value"])
         self._placer.place()
 
     def _is_watcher(self) -> bool:
@@ -348,12 +356,12 @@
         return any(vm.name == self._board.local_vm.name for vm in watchers)
 
     def _other_watchers(self) -> list[Vm]:
-        """Return the watchers, those of our own zone first."""
-        me = self._board.local_vm
+        """Return the other watchers, those of this VM's zone first."""
+        local_vm = self._board.local_vm
         others = self._placement.platform_watchers()
-        zone = me.availability_zone
+        zone = local_vm.availability_zone
         return sorted(
-            (vm for vm in others if vm.name != me.name),
+            (vm for vm in others if vm.name != local_vm.name),
             key=lambda vm: vm.availability_zone != zone,
         )
 
@@ -365,10 +373,10 @@
 
 
 def digest_names(names: Iterable[str]) -> str:
-    """Return a short text that is the same for the same names."""
+    """Return a digest of a set of names."""
     return xxh64_hexdigest("\n".join(sorted(names)).encode())
 
 
 def digest_versions(versions: Mapping[str, int]) -> str:
-    """Return a short text that is the same for the same versions."""
+    """Return a digest of names and versions."""
     return digest_names(f"{name} {versions[name]}" for name in versions)
--- a/bamboospring/lease.py
+++ b/bamboospring/lease.py
@@ -1,21 +1,22 @@
-"""Who leads a bucket of groups: leases kept in the platform's objects.
-
-A lease is an object that names its holder and changes version with each
-renewal. No clocks are compared. The holder counts the life of its lease from
-before the renewal was sent; anybody else counts from when the answer that
-showed the version came in, which is later. So another VM can take the lease
-only after the holder has stopped, whatever their clocks say, as long as they
-run at nearly the same rate; the margin is for that difference.
-
-Where the store comes back from an older copy, renewals are lost that their
-holder counts on, and the lease that is shown may be one that was given up
-since. So each lease names the era in which it was stored. One of an earlier
-era is nobody's: its holder, if that is still so, keeps it for the rest of its
-life and stores it anew, and all others wait for a whole duration.
-
-A holder that was paused may wake after its lease has lapsed. It asks
-`holds(now)` before each order; what was already sent is stopped by the terms
-that targets refuse.
+"""Leases on buckets of groups, stored as objects at the platform.
+
+A lease is an object that names its holder; each renewal changes its version.
+Clocks are never compared. The holder counts the duration from before it sent
+the renewal; every other VM counts from when it received the answer that
+showed the version, which is later. Another VM can therefore take the lease
+only after it has expired at the holder, whatever the clocks show, as long as
+they run at nearly the same rate; the safety margin covers the difference.
+
+When the store is restored from an older copy, renewals on which a holder
+relies are lost, and the lease in the store may be one that was released
+since. Each lease therefore names the era in which it was stored. A lease of
+an earlier era has no valid holder in the store: its holder, if it still is
+one, keeps it until it expires and stores it again, and all others wait for a
+whole duration.
+
+A holder that was paused may resume after its lease has expired. It calls
+`holds(now)` before each order; targets refuse orders that were sent before,
+by their term.
 
     keeper = LeaseKeeper(bucket=3, vm="vm-1", nonce="a7f0", timing=timing)
     action = keeper.step(now, rank=0)
@@ -33,8 +34,8 @@
     "LeaseKeeper",
     "LeaseTiming",
     "LeaseValue",
-    "ReadLease",
     "ObservedLease",
+    "ReadLease",
     "WriteLease",
 ]
 
@@ -43,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseTiming:
-    """Seconds. `stagger` is the head start of each better candidate."""
+    """Durations in seconds.
+
+    `stagger_delay` is the head start that each candidate has over the next.
+    """
 
     duration: float = 3.0
     renew_interval: float = 1.0
@@ -54,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseValue:
-    """What the object says; an empty `vm` means that it was given up.
+    """The contents of the lease object; an empty `vm` means released.
 
-    `address` is where others reach the holder, if they should, `era` the
-    store's when the holder read what this replaces.
+    `address` is where others reach the holder, if they need to. `era` is the
+    store's era when the holder read the value that this one replaces.
     """
 
     vm: str
@@ -69,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ObservedLease:
-    """The object as the platform showed it; version 0: there is none.
+    """The object as the platform returned it; version 0 if it is missing.
 
-    `missing_in` is then the era in which there is none.
+    `missing_in_era` is the era in which it is missing.
     """
 
     version: int
@@ -80,12 +84,12 @@
 
     @property
     def era(self) -> int:
-        """Return the era in which this was seen."""
+        """Return the era in which the object was observed."""
         return era_of(self.version) if self.version else self.missing_in_era
 
     @property
     def is_current(self) -> bool:
-        """Tell whether it was stored in the era in which it was seen."""
+        """Return whether it was stored in the era in which it was observed."""
         return not self.version or self.value.era == self.era
 
 
@@ -109,12 +113,13 @@
 
 
 class LeaseKeeper:
-    """One VM's part in the lease of one bucket.
+    """The lease controller of one VM and one bucket.
 
-    The adapter carries out the action that `step` returns and reports back
-    by exactly one of `read`, `stored`, `conflicted` or `unanswered`, with
-    the time at which the call was sent. `nonce` is new with each process, so
-    that a restarted VM doesn't take its predecessor's lease for its own.
+    The adapter carries out the action that `step` returns and then calls
+    exactly one of `on_read`, `on_stored`, `on_conflict` or `on_no_answer`
+    with the time at which the call was sent. `nonce` differs for each process,
+    so that a restarted VM does not mistake its previous process's lease for
+    its own.
     """
 
     def __init__(
@@ -128,67 +133,67 @@
     ) -> None:
         self.bucket = bucket
         self.valid_until = NEVER
-        # The version of the object with which this holding began. Versions
-        # only grow, so orders under it are told from those of any other
-        # holding, also one by the same VM.
+        # The object's version when this VM acquired the lease. Versions only
+        # grow, so orders under this fence differ from those of any other
+        # holder and of an earlier lease of the same VM.
         self.fence = 0
         self._vm = vm
         self._address = address
         self._nonce = nonce
         self._timing = timing
-        self._seen = ObservedLease(version=-1, value=_empty())
-        self._seen_at = NEVER
-        self._next_at = NEVER
-        self._busy = False
-        # Whether the object was there before and is gone now.
-        self._vanished = False
-        self._unsure: dict[str, float] = {}
-        self._count = 0
+        self._observed = ObservedLease(version=-1, value=_empty())
+        self._observed_at = NEVER
+        self._next_call_at = NEVER
+        self._call_in_flight = False
+        # Whether the object existed before and is missing now.
+        self._has_vanished = False
+        self._unresolved_writes: dict[str, float] = {}
+        self._write_count = 0
 
     def holds(self, now: float) -> bool:
-        """Tell whether this VM may act as the holder at this instant."""
+        """Return whether this VM may act as the holder at this instant."""
         return now < self.valid_until - self._timing.safety_margin
 
     def blocks_others(self, now: float) -> bool:
-        """Tell whether others still wait for the end of our lease."""
-        lapsed_at = self._seen_at + self._seen.value.duration
-        return self._is_mine() and now < lapsed_at
+        """Return whether others still wait for this VM's lease to expire."""
+        expires_at = self._observed_at + self._observed.value.duration
+        return self._is_own() and now < expires_at
 
     def as_lease(self) -> Lease:
-        """Return what the blackboard shows."""
+        """Return the lease for the blackboard."""
         return Lease(
             bucket=self.bucket,
-            vm=self._seen.value.vm,
-            version=max(self._seen.version, 0),
-            duration=self._seen.value.duration,
-            version_seen_at=self._seen_at,
+            vm=self._observed.value.vm,
+            version=max(self._observed.version, 0),
+            duration=self._observed.value.duration,
+            version_seen_at=self._observed_at,
             valid_until=self.valid_until,
         )
 
     def holder_address(self) -> str:
-        """Return where the holder is reached, as last seen."""
-        return self._seen.value.address
+        """Return the holder's address, as last observed."""
+        return self._observed.value.address
 
     def step(self, now: float, rank: int | None) -> LeaseAction | None:
         """Return the call to make now, if any.
 
-        `rank` is this VM's place among the candidates; None if it is none,
-        or is leaving.
+        `rank` is this VM's rank among the candidates; None if it is not a
+        candidate or is leaving.
         """
-        if self._busy or now < self._next_at:
+        if self._call_in_flight or now < self._next_call_at:
             return None
-        if self._unsure or self._seen.version < 0:
-            if rank is None and not self._unsure:
+        if self._unresolved_writes or self._observed.version < 0:
+            if rank is None and not self._unresolved_writes:
                 return None
             return self._read_now()
-        if self._keeps(now):
-            return self._step_mine(now, rank)
+        if self._is_renewable(now):
+            return self._step_held(now, rank)
         return self._step_other(now, rank)
 
-    def _step_mine(self, now: float, rank: int | None) -> LeaseAction:
+    def _step_held(self, now: float, rank: int | None) -> LeaseAction:
         if rank is None:
-            # Stopped before the message goes out: the next holder may act
-            # the moment the platform has it.
+            # Stop acting before the release is sent: the next holder may act
+            # as soon as the platform has stored it.
             self.valid_until = NEVER
             return self._write("")
         return self._write(self._vm)
@@ -197,128 +202,132 @@
         self.valid_until = NEVER
         if rank is None:
             return None
-        free_at = self._free_at()
-        if now >= free_at + rank * self._timing.stagger_delay:
+        available_at = self._available_at()
+        if now >= available_at + rank * self._timing.stagger_delay:
             return self._write(self._vm)
-        # While a better candidate has its head start there is nothing to
-        # read: the conditional update tells whether it came first.
-        return None if now >= free_at else self._read_now()
-
-    def _free_at(self) -> float:
-        """Return when the lease may be taken, if its version stays."""
-        value = self._seen.value
-        if self._vanished or not self._seen.is_current:
-            # Whoever holds it knows of a later state than the store shows.
+        # No read is needed during the head start of a better candidate: the
+        # conditional update conflicts if that candidate was first.
+        return None if now >= available_at else self._read_now()
+
+    def _available_at(self) -> float:
+        """Return when the lease may be taken if its version is unchanged."""
+        value = self._observed.value
+        if self._has_vanished or not self._observed.is_current:
+            # A holder may exist that relies on a later state of the object
+            # than the store has.
             longest = max(value.duration, self._timing.duration)
-            return self._seen_at + longest
+            return self._observed_at + longest
         if not value.vm:
-            return self._seen_at
-        return self._seen_at + value.duration
+            return self._observed_at
+        return self._observed_at + value.duration
 
     def _read_now(self) -> LeaseAction:
-        self._busy = True
+        self._call_in_flight = True
         return ReadLease(bucket=self.bucket)
 
     def _write(self, vm: str) -> LeaseAction:
-        self._busy = True
-        self._count += 1
+        self._call_in_flight = True
+        self._write_count += 1
         return WriteLease(
             bucket=self.bucket,
-            if_version=self._seen.version,
+            if_version=self._observed.version,
             value=LeaseValue(
                 vm=vm,
-                nonce=f"{self._nonce}/{self._count}",
+                nonce=f"{self._nonce}/{self._write_count}",
                 duration=self._timing.duration,
                 address=self._address,
-                era=self._seen.era,
+                era=self._observed.era,
             ),
         )
 
-    # What became of the call.
+    # Results of calls.
 
     def on_read(self, sent_at: float, now: float, seen: ObservedLease) -> None:
-        """Take in the object as it was read."""
-        self._busy = False
-        self._take(now, seen)
+        """Handle the object that was read."""
+        self._call_in_flight = False
+        self._observe(now, seen)
 
     def on_stored(
         self, sent_at: float, now: float, action: WriteLease, version: int
     ) -> None:
-        """Take in that our update was done."""
-        self._busy = False
-        self._unsure[action.value.nonce] = sent_at
-        self._take(now, ObservedLease(version=version, value=action.value))
+        """Handle the success of an update."""
+        self._call_in_flight = False
+        self._unresolved_writes[action.value.nonce] = sent_at
+        self._observe(now, ObservedLease(version=version, value=action.value))
 
     def on_observed(self, now: float, seen: ObservedLease) -> None:
-        """Take in a newer version that was seen by the way.
+        """Handle a newer version observed outside of this keeper's calls.
 
-        A lease that is noticed late is waited out late: without this a holder
-        that dies right after a renewal is followed up to a whole interval of
-        looks later.
+        The waiting time begins when a version is first observed. Without
+        this, a holder that dies right after a renewal would be replaced up to
+        a whole read interval later.
         """
-        if self._busy or self._unsure or self._is_mine():
+        if self._call_in_flight or self._unresolved_writes or self._is_own():
             return
-        if seen.version > self._seen.version:
-            self._take(now, seen)
+        if seen.version > self._observed.version:
+            self._observe(now, seen)
 
     def on_conflict(
         self, sent_at: float, now: float, seen: ObservedLease
     ) -> None:
-        """Take in that the object was at another version.
+        """Handle an update that failed because the version differed.
 
-        It may be our own earlier update whose answer was lost.
+        The object may contain an earlier update of this keeper whose answer
+        was lost.
         """
-        self._busy = False
-        self._take(now, seen)
+        self._call_in_flight = False
+        self._observe(now, seen)
 
     def on_no_answer(
         self, sent_at: float, now: float, action: LeaseAction
     ) -> None:
-        """Take in that nothing is known of the call.
+        """Handle a call whose outcome is unknown.
 
-        An update may have been done, or be done yet, so the object is read
-        before anything else is concluded from it.
+        An update may have taken effect or may still do so, so the object is
+        read before the next decision.
         """
-        self._busy = False
-        self._next_at = now + self._timing.retry_delay
+        self._call_in_flight = False
+        self._next_call_at = now + self._timing.retry_delay
         if isinstance(action, WriteLease):
-            self._unsure[action.value.nonce] = sent_at
-
-    def _take(self, now: float, seen: ObservedLease) -> None:
-        if seen.version != self._seen.version:
-            self._vanished = not seen.version and self._seen.version > 0
-            self._seen = seen
-            self._seen_at = now
-        sent_at = self._unsure.get(seen.value.nonce)
-        self._unsure.clear()
-        if not self._keeps(now):
+            self._unresolved_writes[action.value.nonce] = sent_at
+
+    def _observe(self, now: float, seen: ObservedLease) -> None:
+        if seen.version != self._observed.version:
+            self._has_vanished = (
+                not seen.version and self._observed.version > 0
+            )
+            self._observed = seen
+            self._observed_at = now
+        sent_at = self._unresolved_writes.get(seen.value.nonce)
+        self._unresolved_writes.clear()
+        if not self._is_renewable(now):
             self.valid_until = NEVER
             self.fence = 0
-            self._next_at = self._next_look(now)
+            self._next_call_at = self._next_read_at(now)
             return
         if not self.fence or now >= self.valid_until:
             self.fence = seen.version
         if not seen.is_current:
-            self._next_at = now
+            self._next_call_at = now
         elif sent_at is not None:
             self.valid_until = sent_at + seen.value.duration
-            self._next_at = sent_at + self._timing.renew_interval
+            self._next_call_at = sent_at + self._timing.renew_interval
 
-    def _next_look(self, now: float) -> float:
-        """Look again at the next interval, or when the lease gets free."""
-        free_at = self._free_at()
+    def _next_read_at(self, now: float) -> float:
+        """Return the time of the next read, or of expiry if it is sooner."""
+        available_at = self._available_at()
         timing = self._timing
-        look = now + timing.renew_interval
-        return min(look, free_at) if free_at > now else now
+        next_read_at = now + timing.renew_interval
+        return min(next_read_at, available_at) if available_at > now else now
 
-    def _keeps(self, now: float) -> bool:
-        """Tell whether the lease is ours to renew."""
-        if not self._is_mine():
+    def _is_renewable(self, now: float) -> bool:
+        """Return whether this VM has the lease and may renew it."""
+        if not self._is_own():
             return False
-        return self._seen.is_current or now < self.valid_until
+        return self._observed.is_current or now < self.valid_until
 
-    def _is_mine(self) -> bool:
-        value = self._seen.value
+    def _is_own(self) -> bool:
+        value = self._observed.value
         return value.vm == self._vm and value.nonce.startswith(
             self._nonce + "/"
         )
--- a/bamboospring/lease_client.py
+++ b/bamboospring/lease_client.py
@@ -1,4 +1,4 @@
-"""Carry out the lease controllers' calls at the platform."""
+"""Runs the lease keepers of a VM against the platform."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 from bamboospring.rendezvous import BUCKET_COUNT
 
 __all__ = [
-    "LeaseManager",
     "LeaseCallResult",
-    "encode_lease",
+    "LeaseManager",
     "decode_lease",
+    "encode_lease",
     "pass_result_to_keeper",
 ]
 
@@ -38,7 +38,7 @@
 
 
 class LeaseManager:
-    """This VM's part in the leases of all buckets."""
+    """The lease keepers of all buckets of this VM."""
 
     def __init__(
         self,
@@ -63,23 +63,23 @@
         ]
 
     def holds(self, bucket: int) -> bool:
-        """Tell whether this VM may act for a bucket at this instant."""
+        """Return whether this VM may act for a bucket at this instant."""
         return self._keepers[bucket].holds(self._reactor.now())
 
     def count_held(self) -> int:
-        """Return how many leases others can't take yet because of us."""
+        """Return how many leases of this VM block other VMs."""
         now = self._reactor.now()
         return sum(keeper.blocks_others(now) for keeper in self._keepers)
 
     def step(self, rank_of: Callable[[int], int | None]) -> None:
-        """Make the calls that are due; `rank_of` gives our ranks."""
+        """Make the calls that are due; `rank_of` returns this VM's ranks."""
         for keeper in self._keepers:
             now = self._reactor.now()
             action = keeper.step(now, rank_of(keeper.bucket))
             if action is not None:
-                self._call(keeper, action)
+                self._send(keeper, action)
 
-    def _call(self, keeper: LeaseKeeper, action: LeaseAction) -> None:
+    def _send(self, keeper: LeaseKeeper, action: LeaseAction) -> None:
         sent_at = self._reactor.now()
         name = str(keeper.bucket)
         purpose = f"lease/{name}"
@@ -113,7 +113,7 @@
     sent_at: float,
     now: float,
 ) -> None:
-    """Tell the keeper what became of its call."""
+    """Pass the result of a call to its keeper."""
     match result:
         case Stored() if isinstance(action, WriteLease):
             keeper.on_stored(sent_at, now, action, result.version)
@@ -131,7 +131,7 @@
 
 
 def encode_lease(value: LeaseValue) -> dict[str, Any]:
-    """Return the value to store."""
+    """Encode a lease as the value to store."""
     raw: dict[str, Any] = {
         "vm": value.vm,
         "nonce": value.nonce,
@@ -145,7 +145,7 @@
 
 
 def decode_lease(version: int, raw: Any) -> ObservedLease:
-    """Read a stored lease; what is none counts as given up."""
+    """Decode a stored lease; a value that is not an object means released."""
     raw = raw if isinstance(raw, dict) else {}
     value = LeaseValue(
         vm=str(raw.get("vm", "")),
--- a/bamboospring/object_store.py
+++ b/bamboospring/object_store.py
@@ -1,8 +1,8 @@
-"""The port to the platform's object store: results, and how it is spoken to.
+"""The interface to the platform's object store: results and dialects.
 
-`bamboospring.platform_client` paces calls and judges what comes back. What a
-call looks like on the wire is a dialect's business: `OwnDialect` speaks this
-project's own protocol, and another platform brings a dialect of its own.
+`bamboospring.platform_client` schedules calls and classifies their answers. A
+dialect defines the encoding of calls: `NativeDialect` implements this
+project's protocol, and another platform has its own dialect.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
     "Found",
     "HistoryLost",
     "Missing",
+    "NativeDialect",
     "ObjectDialect",
-    "OwnDialect",
     "Page",
     "Rejected",
     "Stored",
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Found:
-    """An object as the platform has it."""
+    """An object as stored by the platform."""
 
     kind: str
     name: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Missing:
-    """There is no such object."""
+    """The object does not exist."""
 
     kind: str
     name: str
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Stored:
-    """The conditional update was done; the object has this version now."""
+    """The conditional update succeeded; `version` is the new version."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Deleted:
-    """The object is gone, by this call or before it."""
+    """The object does not exist any more, by this call or an earlier one."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Conflict:
-    """Nothing was stored: the object is at another version.
+    """Nothing was stored because the object is at another version.
 
-    Version 0 without a value means that there is no object.
+    Version 0 without a value means that the object does not exist.
     """
 
     version: int
@@ -73,17 +73,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Rejected:
-    """The platform refuses the value itself, for example as too large."""
+    """The platform refused the value itself, for example as too large."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unavailable:
-    """No answer that tells anything.
+    """There was no usable answer.
 
-    `maybe_applied` is true where an update may have taken effect, or may
-    still do so. `retry_after` is in seconds; a call before then is refused.
+    `maybe_applied` is true if an update may have taken effect or may still do
+    so. `retry_after` is in seconds; a call before then is refused.
     """
 
     maybe_applied: bool
@@ -93,10 +93,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HistoryLost:
-    """The store has forgotten what changed since the watch's revision.
+    """The store has no history since the watch's revision.
 
-    Only a new list shows how things stand. It may also have come back from an
-    older copy, in which that revision means something else.
+    The objects must be listed again. The store may also have been restored
+    from an older copy, in which that revision has another meaning.
     """
 
 
@@ -104,7 +104,7 @@
 class Changes:
     """Objects of a kind; deleted ones have version 0 and no value.
 
-    `revision` is where the next watch goes on from.
+    `revision` is the start of the next watch.
     """
 
     objects: tuple[Found, ...]
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Page:
-    """A part of a list; `after` asks for the next one, empty at the end."""
+    """A page of a list; `after` requests the next one, empty at the end."""
 
     changes: Changes
     after: str = ""
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """One call as it goes out; `headers` are whole lines with CRLF."""
+    """One encoded call; `headers` are whole lines with CRLF."""
 
     method: str
     path: str
@@ -130,13 +130,13 @@
 
 
 class ObjectDialect(Protocol):
-    """How calls to an object store are written and its answers read.
+    """Encoding of calls to an object store and decoding of its answers.
 
-    The reading methods raise ValueError, KeyError or TypeError on a body
-    that is not what it should be.
+    The decoding methods raise ValueError, KeyError or TypeError if a body is
+    malformed.
 
-    `era_header` names, in lower case, the header of each answer that counts
-    how often the store has come back from an older copy; empty: it never does.
+    `era_header` is the lower-case name of the answers' header that counts how
+    often the store was restored from an older copy; empty if there is none.
     """
 
     era_header: str
@@ -145,16 +145,16 @@
         """Return the call that reads one object."""
 
     def put(self, kind: str, name: str, if_version: int, value: Any) -> Call:
-        """Return the call that stores a value on a condition.
+        """Return the call that stores a value conditionally.
 
-        A version of 0 says that the object must not exist yet.
+        A version of 0 means that the object must not exist yet.
         """
 
     def delete(self, kind: str, name: str, if_version: int) -> Call:
-        """Return the call that removes an object on a condition."""
+        """Return the call that deletes an object conditionally."""
 
     def list(self, kind: str, after: str) -> Call:
-        """Return the call that reads all objects of a kind, or the rest."""
+        """Return the call that lists objects of a kind from a page on."""
 
     def watch(self, kind: str, revision: int, wait_ms: int) -> Call:
         """Return the call that waits for changes after a revision."""
@@ -163,23 +163,23 @@
         """Return the header lines that name a call's purpose."""
 
     def found(self, body: bytes) -> Found:
-        """Read the answer that holds one object."""
+        """Decode the answer to a read of one object."""
 
     def stored(self, body: bytes) -> Stored:
-        """Read the answer to an update that was done."""
+        """Decode the answer to a successful update."""
 
     def conflict(self, status: int, body: bytes) -> Conflict:
-        """Read the answer to an update whose condition failed."""
+        """Decode the answer to an update whose condition failed."""
 
     def page(self, kind: str, body: bytes) -> Page:
-        """Read a list."""
+        """Decode a page of a list."""
 
     def events(self, kind: str, body: bytes) -> Changes:
-        """Read the answer to a watch."""
+        """Decode the answer to a watch."""
 
 
-class OwnDialect:
-    """This project's own protocol, which docs/PROTOCOLS.md describes."""
+class NativeDialect:
+    """This project's protocol, which docs/PROTOCOLS.md describes."""
 
     era_header = ""
 
@@ -188,12 +188,12 @@
         return Call(method="GET", path=f"/objects/{kind}/{name}")
 
     def put(self, kind: str, name: str, if_version: int, value: Any) -> Call:
-        """Return the call that stores a value on a condition."""
+        """Return the call that stores a value conditionally."""
         body = orjson.dumps({"if_version": if_version, "value": value})
         return Call(method="PUT", path=f"/objects/{kind}/{name}", body=body)
 
     def delete(self, kind: str, name: str, if_version: int) -> Call:
-        """Return the update that leaves the object without a value."""
+        """Return the update that removes the object's value."""
         return self.put(kind, name, if_version, None)
 
     def list(self, kind: str, after: str) -> Call:
@@ -206,34 +206,34 @@
         return Call(method="GET", path=path)
 
     def header(self, purpose: str) -> str:
-        """Return the header by which the platform counts purposes."""
+        """Return the header by which the platform counts calls by purpose."""
         return f"X-Purpose: {purpose}\r\n"
 
     def found(self, body: bytes) -> Found:
-        """Read the answer that holds one object."""
-        return _own_object(orjson.loads(body))
+        """Decode the answer to a read of one object."""
+        return _decode_object(orjson.loads(body))
 
     def stored(self, body: bytes) -> Stored:
-        """Read the answer to an update that was done."""
+        """Decode the answer to a successful update."""
         return Stored(version=orjson.loads(body)["version"])
 
     def conflict(self, status: int, body: bytes) -> Conflict:
-        """Read the answer to an update whose condition failed."""
+        """Decode the answer to an update whose condition failed."""
         raw = orjson.loads(body)
         return Conflict(version=raw["version"], value=raw["value"])
 
     def page(self, kind: str, body: bytes) -> Page:
-        """Read a list, which is always whole."""
+        """Decode a list, which always has one page."""
         return Page(changes=self.events(kind, body))
 
     def events(self, kind: str, body: bytes) -> Changes:
-        """Read the answer to a watch."""
+        """Decode the answer to a watch."""
         raw = orjson.loads(body)
-        objects = tuple(_own_object(item) for item in raw["objects"])
+        objects = tuple(_decode_object(item) for item in raw["objects"])
         return Changes(objects=objects, revision=raw["revision"])
 
 
-def _own_object(raw: dict[str, Any]) -> Found:
+def _decode_object(raw: dict[str, Any]) -> Found:
     return Found(
         kind=raw["kind"],
         name=raw["name"],
--- a/bamboospring/peer_sync.py
+++ b/bamboospring/peer_sync.py
@@ -1,13 +1,14 @@
-"""Spread the table and the list of VMs from peer to peer.
+"""Distributes the table and the list of VMs from peer to peer.
 
-Each VM compares versions with a few neighbours: at once when it has taken a
+Each VM compares versions with a few neighbours: at once when it has applied a
 newer fact (an announcement), and every few seconds in any case (the repair).
-Whoever learns of a higher version asks for it. An edit so crosses the fleet
-in a few hops, each VM receives it about once, and a lost message costs one
-repair interval, not the edit.
+A VM that learns of a higher version asks for it. An edit thus crosses the
+fleet in a few hops, each VM receives it about once, and a lost message delays
+it by one repair interval.
 
-A comparison names a digest of all versions. Versions follow only if the other
-side's digest differs: first its own in the answer, then ours, if it lacks any.
+A comparison contains a digest of all versions. The versions themselves are
+sent only if the digests differ: first the peer's, in its answer, then this
+VM's, if the peer lacks any.
 """
 
 from __future__ import annotations
@@ -41,17 +42,17 @@
 __all__ = ["PeerSync"]
 
 ASK_TIMEOUT = 1.0
-# Several shards are often edited together; one announcement then tells all.
+# Several shards are often edited together; one announcement covers them all.
 ANNOUNCE_DELAY = 0.01
-# A VM that compares versions with us is told of news too, until it has been
-# quiet for this many intervals.
-FORGET_AFTER = 3
+# A VM that compares versions with this one receives announcements too, until
+# it has sent nothing for this many intervals.
+EXPIRY_INTERVALS = 3
 VMS = "vms"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Offer:
-    """A version of a fact that some VM has."""
+    """A version of a fact that another VM has."""
 
     address: str
     version: int
@@ -59,13 +60,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Fetch:
-    """A fact being asked for, and who else has offered it."""
+    """A fact that is being fetched, and further offers of it."""
 
     offers: dict[str, _Offer] = field(default_factory=dict)
 
 
 class PeerSync:
-    """Compare versions with neighbours and fetch what they have newer."""
+    """Compare versions with neighbours and fetch newer facts from them."""
 
     def __init__(
         self,
@@ -76,7 +77,7 @@
         store: FactStore,
         membership: Membership,
         interval: float,
-        chance: Callable[[], float] = random.random,
+        random_float: Callable[[], float] = random.random,
     ) -> None:
         self._reactor = reactor
         self._board = board
@@ -84,14 +85,14 @@
         self._store = store
         self._membership = membership
         self._interval = interval
-        self._chance = chance
+        self._random_float = random_float
         self._neighbours: tuple[Vm, ...] = ()
-        self._neighbours_of = -1
-        self._callers: dict[str, float] = {}
+        self._neighbours_revision = -1
+        self._compared_at: dict[str, float] = {}
         self._fetches: dict[int | str, _Fetch] = {}
-        self._announcing: Timer | None = None
+        self._announce_timer: Timer | None = None
         self.on_heartbeat: list[Callable[[int], None]] = []
-        # Names and addresses of processes that are told of news besides.
+        # Returns names and addresses of further processes to announce to.
         self.extra_recipients: Callable[[], dict[str, str]] = dict
         store.on_change.append(self.announce)
         peers.add_handler("heartbeat", self._on_heartbeat)
@@ -100,13 +101,13 @@
 
     @property
     def is_idle(self) -> bool:
-        """Say whether nothing newer is being fetched."""
+        """Return whether no newer fact is being fetched."""
         return not self._fetches
 
     def start(self) -> None:
-        """Compare now, then at each interval."""
+        """Compare now and then periodically."""
         self.compare()
-        wait = self._interval * (0.75 + self._chance() / 2)
+        wait = self._interval * (0.75 + self._random_float() / 2)
         self._reactor.call_later(wait, self._tick)
 
     def compare(self) -> None:
@@ -120,90 +121,91 @@
         name: str = "",
         on_complete: Callable[[bool], None] | None = None,
     ) -> None:
-        """Ask one address for its versions; say whether it answered."""
+        """Ask one address for its versions; report whether it on_answer."""
 
-        def answered(answer: Any) -> None:
+        def on_answer(answer: Any) -> None:
             if isinstance(answer, PeerLost):
-                self._lost(name)
+                self._record_failure(name)
             else:
-                self._heard(answer.heartbeatAck, address)
-                self._tell_lacking(answer.heartbeatAck, address)
+                self._record_heartbeat(answer.heartbeatAck, address)
+                self._send_missing_versions(answer.heartbeatAck, address)
             if on_complete is not None:
                 on_complete(not isinstance(answer, PeerLost))
 
-        message = self._heartbeat(whole=False)
-        self._peers.ask(address, message, ASK_TIMEOUT, answered)
+        message = self._heartbeat(full=False)
+        self._peers.ask(address, message, ASK_TIMEOUT, on_answer)
 
     def announce(self) -> None:
-        """Tell neighbours soon that there is something new here."""
-        if self._announcing is None:
-            self._announcing = self._reactor.call_later(
+        """Schedule an announcement of new facts to the neighbours."""
+        if self._announce_timer is None:
+            self._announce_timer = self._reactor.call_later(
                 ANNOUNCE_DELAY, self._announce_now
             )
 
     def neighbours(self) -> tuple[Vm, ...]:
-        """Return the VMs that this one compares versions with."""
-        if self._neighbours_of != self._board.vms_revision:
+        """Return the VMs with which this one compares versions."""
+        if self._neighbours_revision != self._board.vms_revision:
             vms = list(self._board.vms.values())
             self._neighbours = choose_neighbours(
                 self._board.local_vm.name, vms
             )
-            self._neighbours_of = self._board.vms_revision
+            self._neighbours_revision = self._board.vms_revision
             self._membership.retain_vms(self._board.vms)
         return self._neighbours
 
     def _tick(self) -> None:
-        self._forget_quiet()
+        self._expire_compared()
         self.start()
 
     def _announce_now(self) -> None:
-        self._announcing = None
+        self._announce_timer = None
         vms = {vm.name: vm.address for vm in self.neighbours()}
         vms.update(self.extra_recipients())
-        for name in self._callers:
+        for name in self._compared_at:
             vm = self._board.vms.get(name)
             if vm is not None:
                 vms[name] = vm.address
         for address in vms.values():
-            self._peers.send(address, self._heartbeat(whole=True))
+            self._peers.send(address, self._heartbeat(full=True))
 
-    def _forget_quiet(self) -> None:
-        oldest = self._reactor.now() - FORGET_AFTER * self._interval
-        for name, heard_at in list(self._callers.items()):
+    def _expire_compared(self) -> None:
+        oldest = self._reactor.now() - EXPIRY_INTERVALS * self._interval
+        for name, heard_at in list(self._compared_at.items()):
             if heard_at < oldest:
-                del self._callers[name]
+                del self._compared_at[name]
 
     # Messages.
 
-    def _heartbeat(self, *, whole: bool) -> Any:
+    def _heartbeat(self, *, full: bool) -> Any:
         message = new_envelope()
-        self._fill(message.init("heartbeat"), whole)
+        self._fill(message.init("heartbeat"), full)
         return message
 
-    def _fill(self, out: Any, whole: bool) -> None:
+    def _fill(self, out: Any, full: bool) -> None:
         versions = fact_versions(self._board)
         out.vm = self._board.local_vm.name
         out.vmsRevision = versions.vms_revision
         out.draining = self._board.draining
         out.digest = versions_digest(versions)
-        if whole:
+        if full:
             out.shards = list(versions.shards)
 
-    def _tell_lacking(self, ack: Any, address: str) -> None:
-        """Tell our versions to a VM that lacks some of them.
+    def _send_missing_versions(self, ack: Any, address: str) -> None:
+        """Send this VM's versions to a VM that lacks some of them.
 
-        It got the digest only. Without this a VM that has us for a neighbour
-        but is not ours would wait for somebody else to bring the news.
+        That VM has received only the digest. If this VM is its neighbour but
+        not the other way round, it would otherwise learn of the newer versions
+        only from another VM.
         """
         if not ack.shards:
             return
         if newer_facts(_versions_in(ack), fact_versions(self._board)):
-            self._peers.send(address, self._heartbeat(whole=True))
+            self._peers.send(address, self._heartbeat(full=True))
 
     def _differs(self, heartbeat: Any) -> bool:
-        """Say whether the sender may have other versions than we.
+        """Return whether the sender may have other versions than this VM.
 
-        One of a link's own heartbeats tells nothing and needs nothing.
+        The heartbeats that check a link contain neither digest nor versions.
         """
         if heartbeat.digest:
             mine = versions_digest(fact_versions(self._board))
@@ -217,15 +219,15 @@
             self._membership.set_draining(name, self._reactor.now())
         vm = self._board.vms.get(name)
         if vm is not None and name != self._board.local_vm.name:
-            self._callers[name] = self._reactor.now()
-            self._heard(heartbeat, vm.address)
+            self._compared_at[name] = self._reactor.now()
+            self._record_heartbeat(heartbeat, vm.address)
         if message.id != 0:
             answer = new_envelope()
             whole = self._differs(heartbeat)
             self._fill(answer.init("heartbeatAck"), whole)
             reply(answer)
 
-    def _heard(self, heartbeat: Any, address: str) -> None:
+    def _record_heartbeat(self, heartbeat: Any, address: str) -> None:
         name = heartbeat.vm
         now = self._reactor.now()
         self._membership.record_contact(name, now)
@@ -241,62 +243,62 @@
             offer = _Offer(address=address, version=theirs.shards[shard])
             self._fetch(shard, name, offer)
 
-    def _lost(self, name: str) -> None:
+    def _record_failure(self, name: str) -> None:
         if name:
             self._membership.record_failure(name, self._reactor.now())
 
     # Fetching.
 
-    def _fetch(self, what: int | str, name: str, offer: _Offer) -> None:
-        """Ask for a fact, one VM at a time; others who have it wait."""
-        running = self._fetches.get(what)
+    def _fetch(self, fact: int | str, name: str, offer: _Offer) -> None:
+        """Ask one VM at a time for a fact; keep further offers."""
+        running = self._fetches.get(fact)
         if running is not None:
             running.offers[name] = offer
             return
-        self._fetches[what] = _Fetch()
-        self._ask_for(what, offer.address)
+        self._fetches[fact] = _Fetch()
+        self._ask_for(fact, offer.address)
 
-    def _ask_for(self, what: int | str, address: str) -> None:
-        def answered(answer: Any) -> None:
+    def _ask_for(self, fact: int | str, address: str) -> None:
+        def on_answer(answer: Any) -> None:
             if not isinstance(answer, PeerLost):
-                self._take(answer)
-            self._fetch_next(what)
+                self._apply_answer(answer)
+            self._fetch_next(fact)
 
-        message = self._want(what)
-        self._peers.ask(address, message, ASK_TIMEOUT, answered)
+        message = self._fetch_message(fact)
+        self._peers.ask(address, message, ASK_TIMEOUT, on_answer)
 
-    def _fetch_next(self, what: int | str) -> None:
-        """Turn to another offer if it is still newer than what we have.
+    def _fetch_next(self, fact: int | str) -> None:
+        """Use another offer if it is still newer than this VM's version.
 
-        The VM asked first may have gone, or have had an older version.
+        The VM that was asked first may be gone or may have an older version.
         """
-        fetch = self._fetches.pop(what)
-        mine = self._version(what)
+        fetch = self._fetches.pop(fact)
+        mine = self._version(fact)
         while fetch.offers:
             name = next(iter(fetch.offers))
             offer = fetch.offers.pop(name)
             if offer.version > mine:
-                self._fetches[what] = fetch
-                self._ask_for(what, offer.address)
+                self._fetches[fact] = fetch
+                self._ask_for(fact, offer.address)
                 return
 
-    def _version(self, what: int | str) -> int:
+    def _version(self, fact: int | str) -> int:
         versions = fact_versions(self._board)
-        if isinstance(what, int):
-            return versions.shards[what]
+        if isinstance(fact, int):
+            return versions.shards[fact]
         return versions.vms_revision
 
-    def _want(self, what: int | str) -> Any:
+    def _fetch_message(self, fact: int | str) -> Any:
         message = new_envelope()
-        if isinstance(what, int):
+        if isinstance(fact, int):
             want = message.init("tableWant")
-            want.shard = what
-            want.version = self._version(what)
+            want.shard = fact
+            want.version = self._version(fact)
         else:
-            message.init("vmList").revision = self._version(what)
+            message.init("vmList").revision = self._version(fact)
         return message
 
-    def _take(self, answer: Any) -> None:
+    def _apply_answer(self, answer: Any) -> None:
         match answer.which():
             case "tableDelta" if answer.tableDelta.rows:
                 delta = answer.tableDelta
--- a/bamboospring/peers.py
+++ b/bamboospring/peers.py
@@ -1,7 +1,7 @@
-"""Cap'n Proto messages between the system's own processes, over TCP.
+"""Cap'n Proto messages between the system's processes, over TCP.
 
-One link to each address that is in use, shared by all exchanges with that
-peer; answers are matched by correlation id.
+There is one link per address, shared by all exchanges with that peer; answers
+are matched by correlation id.
 """
 
 from __future__ import annotations
@@ -29,26 +29,26 @@
 schema = capnp.load(str(Path(__file__).with_name("wire.capnp")))
 
 PROTOCOL = 1
-MAX_FRAME = 4 * 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
 CONNECT_TIMEOUT = 1.0
-# A link can go silent for good while new ones work. With an exchange open and
-# nothing heard for this long a heartbeat is sent; with nothing heard for as
-# long again the link is dropped and its exchanges are lost at once, instead
-# of each waiting for its own deadline.
-SILENCE = 0.5
-# The side that accepts says hello at once. Until it has, nothing is sent: a
-# connection is also accepted by the kernel of a process that is frozen, or by
-# a proxy whose other side is dead, and a statement written into it would have
-# to be given up as unknown although nobody ever saw it.
+# A link can stop working permanently while new ones work. If an exchange is
+# open and nothing was received for this long, a heartbeat is sent; if nothing
+# is received for as long again, the link is dropped and its exchanges fail at
+# once, instead of each waiting for its own deadline.
+HEARTBEAT_TIMEOUT = 0.5
+# The accepting side sends a hello at once, and nothing is sent to it before.
+# The kernel of a frozen process, or a proxy whose upstream is dead, also
+# accepts connections; the outcome of a statement sent over one would be
+# unknown although no process received it.
 HELLO_TIMEOUT = 1.0
-LENGTH = struct.Struct("<I")
-# Cap'n Proto messages are whole words of so many bytes.
-WORD = 8
+LENGTH_PREFIX = struct.Struct("<I")
+# Cap'n Proto messages consist of whole words of this many bytes.
+WORD_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerLost:
-    """No answer came. `sent` is false if surely nothing was sent."""
+    """No answer arrived. `sent` is false if certainly nothing was sent."""
 
     sent: bool
 
@@ -59,15 +59,15 @@
 
 
 def new_envelope() -> Any:
-    """Return a new, empty Envelope to fill in."""
+    """Return a new, empty Envelope message."""
     return schema.Envelope.new_message()
 
 
 class Peers:
-    """Send messages to other VMs and hand theirs to handlers.
+    """Send messages to peers and dispatch received ones to handlers.
 
-    Messages given to a handler or to `on_answer` are readable only until it
-    returns. `on_answer` gets a `PeerLost` when no answer came.
+    A message passed to a handler or to `on_answer` is readable only until it
+    returns. `on_answer` receives a `PeerLost` if no answer arrives.
     """
 
     def __init__(self, *, reactor: Reactor, vm: str, listen: str) -> None:
@@ -82,24 +82,27 @@
         self.received_bytes = 0
         self.add_handler("heartbeat", _answer_heartbeat)
 
-    def add_handler(self, which: str, callback: OnMessage) -> None:
-        """Call back with each message of a kind and a way to reply."""
-        self._handlers[which] = callback
+    def add_handler(self, kind: str, callback: OnMessage) -> None:
+        """Register the handler of a kind of message.
+
+        It is called with each message and a function that replies.
+        """
+        self._handlers[kind] = callback
 
     def send(self, address: str, message: Any) -> None:
-        """Send without waiting for an answer; lost if the peer is away."""
+        """Send without an answer; the message is lost if the peer is away."""
         message.id = 0
         self._link(address).send(message.to_bytes())
 
     def broadcast(self, message: Any) -> None:
-        """Send on each link that stands, whoever opened it."""
+        """Send on every open link, whichever side opened it."""
         message.id = 0
         data = message.to_bytes()
         for link in [*self._links.values(), *self._accepted]:
             link.send(data)
 
     def send_all(self, addresses: Iterable[str], message: Any) -> None:
-        """Send the same to several; it is encoded once."""
+        """Send the same message to several addresses, encoded once."""
         message.id = 0
         data = message.to_bytes()
         for address in addresses:
@@ -117,13 +120,17 @@
         self._link(address).ask(message, timeout, on_answer)
 
     def unresponsive_for(self, address: str) -> float | None:
-        """Return for how many seconds a peer has owed an answer.
+        """Return for how many seconds an awaited answer has not arrived.
 
-        0 if it owes none or has said something since; None if no link stands
-        that a question could be sent on. Then one is opened, for later.
+        0 if no answer is awaited. The time starts again whenever anything is
+        received. None if no link is ready; one is then opened for later use.
         """
         link = self._link(address)
-        return link.silence(self.reactor.now()) if link.ready else None
+        return (
+            link.unresponsive_for(self.reactor.now())
+            if link.is_ready
+            else None
+        )
 
     def close(self) -> None:
         """Stop listening and drop all links."""
@@ -132,17 +139,17 @@
             link.drop()
 
     def stop_listening(self) -> None:
-        """Take no new links; those that stand go on."""
+        """Accept no new links; open ones continue."""
         self.listener.close()
 
     def dispatch(self, message: Any, reply: Reply) -> None:
-        """Hand a message to its handler; unknown kinds are dropped."""
+        """Pass a message to its handler; unknown kinds are dropped."""
         handler = self._handlers.get(message.which())
         if handler is not None:
             handler(message, reply)
 
     def forget(self, link: _Link) -> None:
-        """Drop a link that has ended from the tables."""
+        """Remove a closed link from the tables."""
         self._accepted.discard(link)
         if self._links.get(link.address) is link:
             del self._links[link.address]
@@ -152,18 +159,18 @@
         if link is None:
             link = _Link(peers=self, address=address)
             self._links[address] = link
-            self.reactor.connect(address, CONNECT_TIMEOUT, link.opened)
+            self.reactor.connect(address, CONNECT_TIMEOUT, link.on_open)
         return link
 
     def _accept(self, stream: Stream) -> None:
         link = _Link(peers=self, address="")
         self._accepted.add(link)
-        link.opened(stream)
+        link.on_open(stream)
 
 
 @dataclass(slots=True, kw_only=True)
 class _Exchange:
-    """A question whose answer has not come."""
+    """A request whose answer has not arrived."""
 
     on_answer: OnAnswer
     timer: Timer
@@ -177,14 +184,14 @@
     peers: Peers
     address: str
     stream: Stream | None = None
-    waiting: list[tuple[int, bytes]] = field(default_factory=list)
+    unsent: list[tuple[int, bytes]] = field(default_factory=list)
     exchanges: dict[int, _Exchange] = field(default_factory=dict)
     buffer: bytearray = field(default_factory=bytearray)
-    heard_at: float = 0.0
+    last_received_at: float = 0.0
     heartbeat_at: float = -1e9
-    watch: Timer | None = None
-    ready: bool = False
-    ended: bool = False
+    heartbeat_timer: Timer | None = None
+    is_ready: bool = False
+    is_closed: bool = False
 
     def send(self, data: bytes) -> None:
         self._write(0, data)
@@ -192,114 +199,114 @@
     def ask(self, message: Any, timeout: float, on_answer: OnAnswer) -> None:
         number = message.id
         timer = self.peers.reactor.call_later(
-            timeout, lambda: self._give_up(number)
+            timeout, lambda: self._expire_exchange(number)
         )
         self.exchanges[number] = _Exchange(on_answer=on_answer, timer=timer)
         self._write(number, message.to_bytes())
-        if self.watch is None and self.ready:
-            # Silence before the question is nobody's fault.
-            self.heard_at = self.peers.reactor.now()
-            self._watch_silence()
+        if self.heartbeat_timer is None and self.is_ready:
+            # Only time after the request counts as unresponsive.
+            self.last_received_at = self.peers.reactor.now()
+            self._start_heartbeat_timer()
 
-    def silence(self, now: float) -> float:
-        return now - self.heard_at if self.exchanges else 0.0
+    def unresponsive_for(self, now: float) -> float:
+        return now - self.last_received_at if self.exchanges else 0.0
 
-    def opened(self, stream: Stream | None) -> None:
-        if self.ended:
+    def on_open(self, stream: Stream | None) -> None:
+        if self.is_closed:
             if stream is not None:
                 stream.abort()
             return
         if stream is None:
-            self._end()
+            self._on_close()
             return
         self.stream = stream
-        stream.on_data = self._data
-        stream.on_close = self._end
+        stream.on_data = self._on_data
+        stream.on_close = self._on_close
         if self.address:
             self.peers.reactor.call_later(HELLO_TIMEOUT, self._check_hello)
             return
-        self._get_ready()
+        self._mark_ready()
         message = new_envelope()
         message.init("hello").vm = self.peers.vm
         message.hello.protocol = PROTOCOL
         self.send(message.to_bytes())
 
     def _check_hello(self) -> None:
-        if not self.ready:
+        if not self.is_ready:
             self.drop()
 
-    def _get_ready(self) -> None:
-        self.ready = True
-        self.heard_at = self.peers.reactor.now()
-        waiting, self.waiting = self.waiting, []
-        for number, data in waiting:
-            # An exchange that was given up meanwhile got the answer "not
-            # sent"; sending it now would make that answer a lie.
+    def _mark_ready(self) -> None:
+        self.is_ready = True
+        self.last_received_at = self.peers.reactor.now()
+        unsent, self.unsent = self.unsent, []
+        for number, data in unsent:
+            # An exchange that timed out meanwhile was reported as not sent, so
+            # its message must not be sent any more.
             if number == 0 or number in self.exchanges:
                 self._write(number, data)
         if self.exchanges:
-            self._watch_silence()
+            self._start_heartbeat_timer()
 
     def drop(self) -> None:
         if self.stream is not None:
             self.stream.abort()
         else:
-            self._end()
+            self._on_close()
 
     def _write(self, number: int, data: bytes) -> None:
-        if self.stream is None or not self.ready:
-            self.waiting.append((number, data))
+        if self.stream is None or not self.is_ready:
+            self.unsent.append((number, data))
             return
         exchange = self.exchanges.get(number)
         if exchange is not None:
             exchange.sent = True
-        self.peers.sent_bytes += len(data) + LENGTH.size
-        self.stream.send(LENGTH.pack(len(data)) + data)
+        self.peers.sent_bytes += len(data) + LENGTH_PREFIX.size
+        self.stream.send(LENGTH_PREFIX.pack(len(data)) + data)
 
-    def _data(self, data: bytes) -> None:
-        self.heard_at = self.peers.reactor.now()
+    def _on_data(self, data: bytes) -> None:
+        self.last_received_at = self.peers.reactor.now()
         self.peers.received_bytes += len(data)
-        # Most often whole frames come in one piece: then nothing is copied
-        # to the buffer.
-        rest = self.buffer
-        if rest:
-            rest += data
-        source = rest or data
+        # Whole frames usually arrive in one piece; then nothing is copied to
+        # the buffer.
+        buffer = self.buffer
+        if buffer:
+            buffer += data
+        source = buffer or data
         start, length = 0, len(source)
-        while length - start >= LENGTH.size:
-            (size,) = LENGTH.unpack_from(source, start)
-            if size > MAX_FRAME:
+        while length - start >= LENGTH_PREFIX.size:
+            (size,) = LENGTH_PREFIX.unpack_from(source, start)
+            if size > MAX_FRAME_BYTES:
                 self.drop()
                 return
-            end = start + LENGTH.size + size
+            end = start + LENGTH_PREFIX.size + size
             if length < end:
                 break
-            self._frame(bytes(source[start + LENGTH.size : end]))
+            self._on_frame(bytes(source[start + LENGTH_PREFIX.size : end]))
             start = end
-            if self.ended:
+            if self.is_closed:
                 return
-        if source is rest:
-            del rest[:start]
+        if source is buffer:
+            del buffer[:start]
         elif start < length:
-            rest += source[start:]
+            buffer += source[start:]
 
-    def _frame(self, frame: bytes) -> None:
-        if len(frame) % WORD:
-            # pycapnp raises ValueError for these. Uncaught, it leaves the
-            # link open and out of step, and whoever waits on it waits for
-            # its deadline.
+    def _on_frame(self, frame: bytes) -> None:
+        if len(frame) % WORD_BYTES:
+            # pycapnp raises ValueError for such frames. Uncaught, it would
+            # leave the link open and out of sync, and each exchange on it
+            # would wait for its deadline.
             self.drop()
             return
         try:
             with schema.Envelope.from_bytes(frame) as message:
-                self._message(message)
+                self._on_message(message)
         except (capnp.KjException, MessageError):
-            # The stream can't be trusted to be in step any more.
+            # The stream may be out of sync.
             self.drop()
 
-    def _message(self, message: Any) -> None:
-        if not self.ready:
-            self._get_ready()
+    def _on_message(self, message: Any) -> None:
+        if not self.is_ready:
+            self._mark_ready()
         number = message.id
         exchange = self.exchanges.pop(number, None)
         if exchange is not None:
@@ -309,47 +316,50 @@
 
         def reply(answer: Any) -> None:
             answer.id = number
-            if not self.ended:
+            if not self.is_closed:
                 self._write(0, answer.to_bytes())
 
         self.peers.dispatch(message, reply)
 
-    def _watch_silence(self) -> None:
-        self.watch = self.peers.reactor.call_later(
-            SILENCE, self._check_silence
+    def _start_heartbeat_timer(self) -> None:
+        self.heartbeat_timer = self.peers.reactor.call_later(
+            HEARTBEAT_TIMEOUT, self._check_heartbeat
         )
 
-    def _check_silence(self) -> None:
-        self.watch = None
-        if self.ended or not self.exchanges:
+    def _check_heartbeat(self) -> None:
+        self.heartbeat_timer = None
+        if self.is_closed or not self.exchanges:
             return
         now = self.peers.reactor.now()
-        unanswered = self.heartbeat_at > self.heard_at
-        if unanswered and now - self.heartbeat_at >= SILENCE:
+        unanswered = self.heartbeat_at > self.last_received_at
+        if unanswered and now - self.heartbeat_at >= HEARTBEAT_TIMEOUT:
             self.drop()
             return
-        if not unanswered and now - self.heard_at >= SILENCE / 2:
-            # Only a question that stays open tells silence from a peer that
-            # has nothing to say yet.
+        if (
+            not unanswered
+            and now - self.last_received_at >= HEARTBEAT_TIMEOUT / 2
+        ):
+            # Only an unanswered request distinguishes an unresponsive peer
+            # from one that has nothing to send yet.
             message = new_envelope()
             message.init("heartbeat").vm = self.peers.vm
             message.id = next(self.peers._ids)
             self.heartbeat_at = now
             self.send(message.to_bytes())
-        self._watch_silence()
+        self._start_heartbeat_timer()
 
-    def _give_up(self, number: int) -> None:
+    def _expire_exchange(self, number: int) -> None:
         exchange = self.exchanges.pop(number, None)
         if exchange is not None:
             exchange.on_answer(PeerLost(sent=exchange.sent))
 
-    def _end(self) -> None:
-        if self.ended:
+    def _on_close(self) -> None:
+        if self.is_closed:
             return
-        self.ended = True
+        self.is_closed = True
         self.peers.forget(self)
-        if self.watch is not None:
-            self.watch.cancel()
+        if self.heartbeat_timer is not None:
+            self.heartbeat_timer.cancel()
         exchanges, self.exchanges = self.exchanges, {}
         for exchange in exchanges.values():
             exchange.timer.cancel()
--- a/bamboospring/platform_client.py
+++ b/bamboospring/platform_client.py
@@ -1,15 +1,15 @@
-"""Calls to the platform's object API, paced and with typed results.
+"""A client of the platform's object API with backoff and typed results.
 
-Each purpose has one connection and one call in flight, so that a slow
-platform is never asked by one VM for the same thing many times over. After a
-failure a purpose backs off, with jitter: until then further calls are refused
-here at once with `Unavailable`, whose `retry_after` says when the next one
+Each purpose has one connection and at most one call in flight, so that a VM
+never sends the same request repeatedly to a slow platform. After a failure a
+purpose backs off with jitter; until then, further calls are refused locally at
+once with `Unavailable`, whose `retry_after` gives the time until the next call
 will be sent.
 
     client.get("group", "ledger-1", "group", on_result)
 
-A purpose may be divided with a slash, as in `lease/7`: the parts then have a
-call in flight each and are counted together, as `lease`.
+A purpose may have a suffix after a slash, as in `lease/7`: each such purpose
+has its own call in flight, and all are counted together as `lease`.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 from bamboospring.object_store import Found
 from bamboospring.object_store import HistoryLost
 from bamboospring.object_store import Missing
+from bamboospring.object_store import NativeDialect
 from bamboospring.object_store import ObjectDialect
-from bamboospring.object_store import OwnDialect
 from bamboospring.object_store import Rejected
 from bamboospring.object_store import Stored
 from bamboospring.object_store import Unavailable
@@ -65,21 +65,22 @@
     "VmsFound",
 ]
 
-# A list is longer than one object and is asked for seldom.
-LIST_FACTOR = 2.5
-# A watch is answered at the end of its waiting time at the latest; the rest
-# is for the way there and back and a slow platform.
+# Lists are larger than single objects and are requested rarely.
+LIST_TIMEOUT_FACTOR = 2.5
+# A watch is answered at the end of its waiting time at the latest; the margin
+# in seconds covers the network and a slow platform.
 WATCH_MARGIN = 3.0
 FIRST_BACKOFF = 0.1
-# A steward that finds the platform back late loses its lease for nothing, and
-# an operator waits for an edit. There are few calls of both kinds.
+# Maximum backoff in seconds of urgent purposes: a steward that detects the
+# platform's return late loses its lease without need, and an operator waits
+# for an edit. Calls of both kinds are few.
 MAX_URGENT_BACKOFF = 2.0
-URGENT = frozenset({"edit", "lease"})
-MAX_WAITING = 32
+URGENT_PURPOSES = frozenset({"edit", "lease"})
+MAX_QUEUED_CALLS = 32
 
 SERVER_ERRORS = 500
-# Within so many seconds of the store's return from an older copy what it has
-# lost is written there again by whoever had written it.
+# After the store is restored from an older copy, the writers of lost objects
+# store them again within this many seconds.
 WRITTEN_AGAIN = 2.0
 
 
@@ -87,7 +88,7 @@
 class VmsFound:
     """The list of VMs, each as the platform's JSON object.
 
-    `vms` is None if the list was left out as one that we have.
+    `vms` is None if the platform omitted the list because it is unchanged.
     """
 
     revision: int
@@ -98,26 +99,27 @@
 class CallCounts:
     """Calls of one purpose since the process started.
 
-    `held` counts calls refused here, which never reached the platform.
+    `refused` counts calls that were refused locally and never sent.
     """
 
     calls: int = 0
     failed: int = 0
-    held: int = 0
+    refused: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallTiming:
     """Times of calls, in seconds.
 
-    `timeout` bounds a call from when it is sent; the pause after a failed
-    call starts at `first_backoff` and doubles up to `longest_backoff`.
+    `timeout` limits the time of a call after it is sent. The delay after a
+    failed call starts at `first_backoff` and doubles up to `max_backoff`.
     `watch_margin` is how much later than its waiting time a watch may be
-    answered before its connection is taken for silent. With `least_timeout`
-    other calls are given up sooner where answers come sooner, but never
-    before that; infinity: never sooner. Calls for `large` purposes take as
-    long as their size and the link demand: they are never given up sooner,
-    and tell nothing of the others.
+    answered before its connection is treated as unresponsive. `min_timeout`
+    enables adaptive timeouts: other calls time out sooner if answers usually
+    arrive sooner, but never before `min_timeout`; with infinity, timeouts are
+    fixed. Calls for `large_purposes` depend on the size of the answer and on
+    the link: their timeout is fixed, and their times are not used to adapt the
+    timeouts of other calls.
     """
 
     timeout: float = 2.0
@@ -130,64 +132,64 @@
 
 @dataclass(slots=True, kw_only=True)
 class Backoff:
-    """When the next call of a purpose may be sent.
+    """The time at which the next call of a purpose may be sent.
 
-    The wait doubles with each failure up to `limit` seconds. Half of it is
-    random: VMs that lost the platform at the same instant would otherwise
-    come back to it in step.
+    The delay doubles with each failure up to `max_delay` seconds. Half of it
+    is random: VMs that lost the platform at the same instant would otherwise
+    call it again at the same time.
     """
 
-    limit: float = 5.0
-    first: float = FIRST_BACKOFF
+    max_delay: float = 5.0
+    first_delay: float = FIRST_BACKOFF
     failures: int = 0
-    until: float = -1e9
+    blocked_until: float = -1e9
 
-    def failed(self, now: float, chance: float) -> float:
-        """Count a failure and return the seconds to wait.
+    def record_failure(self, now: float, random_float: float) -> float:
+        """Record a failure and return the delay in seconds.
 
-        `chance` is a random number of 0 to 1.
+        `random_float` is a random number from 0 to 1.
         """
-        # Bounded, because a long outage must not overflow the power.
+        # Bounded, so that the power does not overflow in a long outage.
         doublings = min(self.failures, 16)
-        wait = min(self.limit, self.first * 2.0**doublings)
-        wait *= 0.5 + chance / 2
+        delay = min(self.max_delay, self.first_delay * 2.0**doublings)
+        delay *= 0.5 + random_float / 2
         self.failures += 1
-        self.until = now + wait
-        return wait
+        self.blocked_until = now + delay
+        return delay
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """Forget all failures."""
         self.failures = 0
-        self.until = -1e9
+        self.blocked_until = -1e9
 
 
 OnAnswer = Callable[[HttpAnswer | Unavailable], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Waiting:
-    """A call that is not sent yet: how to send it, or to refuse it."""
+class _QueuedCall:
+    """A queued call, with the functions that send or refuse it."""
 
     send: Callable[[], None]
     refuse: Callable[[Unavailable], None]
 
 
 @dataclass(slots=True, kw_only=True)
-class _Lane:
-    """The connection of one purpose, how it fares and what waits for it.
+class _PurposeQueue:
+    """The connection, backoff and queued calls of one purpose.
 
-    Calls wait here and not in the HTTP client, where a slow call would use
-    up the time of those behind it.
+    Calls are queued here and not in the HTTP client, where a slow call would
+    use up the time of the calls behind it.
     """
 
     client: HttpClient
     backoff: Backoff
-    busy: bool = False
-    waiting: deque[_Waiting] = field(default_factory=deque)
+    is_busy: bool = False
+    pending: deque[_QueuedCall] = field(default_factory=deque)
 
 
 class PlatformClient:
-    """Calls to the platform; every result comes by `on_result`, once."""
+    """Call the platform; `on_result` is called exactly once per call."""
 
     def __init__(
         self,
@@ -195,25 +197,27 @@
         reactor: Reactor,
         address: str,
         timing: CallTiming = CallTiming(),
-        chance: Callable[[], float] = random.random,
-        dialect: ObjectDialect = OwnDialect(),
+        random_float: Callable[[], float] = random.random,
+        dialect: ObjectDialect = NativeDialect(),
     ) -> None:
         self.counts: dict[str, CallCounts] = {}
         self._dialect = dialect
         self._reactor = reactor
         self._address = address
         self._timing = timing
-        self._chance = chance
-        self._lanes: dict[str, _Lane] = {}
-        self._times = AdaptiveTimeout(min_timeout=timing.min_timeout)
-        # The store's newest era: it rises when the store has come back from
-        # an older copy. `on_return` is called then. It was back at
-        # `returned_at` at the latest; None: as far as is known it never was
-        # away.
+        self._random_float = random_float
+        self._queues: dict[str, _PurposeQueue] = {}
+        self._adaptive_timeout = AdaptiveTimeout(
+            min_timeout=timing.min_timeout
+        )
+        # The store's newest known era, which increases when the store is
+        # restored from an older copy. The callbacks in `on_restored` are then
+        # called. The store was restored at `restored_at` at the latest; None
+        # if no restore is known.
         self.era = 0
         self.restored_at: float | None = None
         self.on_restored: list[Callable[[], None]] = []
-        self._answered = False
+        self._has_answered = False
 
     def get(
         self,
@@ -253,8 +257,8 @@
     ) -> None:
         """Store a value if the object is at `if_version` (0: create).
 
-        After `Unavailable(maybe_applied=True)` only reading the object back
-        tells what became of the update.
+        After `Unavailable(maybe_applied=True)`, the outcome of the update can
+        only be determined by reading the object back.
         """
 
         def answered(answer: HttpAnswer | Unavailable) -> None:
@@ -265,7 +269,7 @@
                     if if_version and self._era_of(answer) != era_of(
                         if_version
                     ):
-                        on_result(_of_another_era(maybe_applied=True))
+                        on_result(_era_mismatch(maybe_applied=True))
                         return
                     on_result(self._read(answer, dialect.stored))
                 case HttpAnswer(
@@ -276,13 +280,13 @@
                     on_result(Rejected(status=answer.status))
 
         if if_version and era_of(if_version) < self.era:
-            self._conflict_of(kind, name, purpose, on_result, timeout)
+            self._read_as_conflict(kind, name, purpose, on_result, timeout)
             return
         dialect = self._dialect
         call = dialect.put(kind, name, revision_of(if_version), value)
         self._call(call, purpose, timeout, answered)
 
-    def _conflict_of(
+    def _read_as_conflict(
         self,
         kind: str,
         name: str,
@@ -292,8 +296,8 @@
     ) -> None:
         """Read the object whose update is conditional on an earlier era.
 
-        The store may have given the same revision out again, and would take
-        the update for one of what it has there now.
+        The store may have assigned the same revision again, and would apply
+        the update to an object that has changed.
         """
 
         def answered(result: Found | Missing | Unavailable) -> None:
@@ -315,7 +319,7 @@
         purpose: str,
         on_result: Callable[[Deleted | Conflict | Unavailable], None],
     ) -> None:
-        """Remove an object if it is at `if_version`."""
+        """Delete an object if it is at `if_version`."""
 
         def answered(answer: HttpAnswer | Unavailable) -> None:
             match answer:
@@ -327,7 +331,7 @@
                     on_result(Deleted())
 
         if if_version and era_of(if_version) < self.era:
-            self._conflict_of(kind, name, purpose, on_result, None)
+            self._read_as_conflict(kind, name, purpose, on_result, None)
             return
         call = self._dialect.delete(kind, name, revision_of(if_version))
         self._call(call, purpose, None, answered)
@@ -340,13 +344,13 @@
         *,
         timeout: float | None = None,
     ) -> None:
-        """Read all objects of a kind, however many pages they fill.
+        """Read all objects of a kind, on any number of pages.
 
-        The result is of the revision of the first page: a watch from there
-        brings again what changed while the others were read. Pages of two eras
-        make no list.
+        The result has the revision of the first page: a watch from there
+        returns changes made while further pages were read. If the pages are of
+        two eras, the result is `Unavailable`.
         """
-        timeout = timeout or LIST_FACTOR * self._timing.timeout
+        timeout = timeout or LIST_TIMEOUT_FACTOR * self._timing.timeout
         objects: list[Found] = []
         revision = 0
 
@@ -360,7 +364,7 @@
                 on_result(page)
                 return
             if revision and era_of(page.changes.revision) != era_of(revision):
-                on_result(_of_another_era(maybe_applied=False))
+                on_result(_era_mismatch(maybe_applied=False))
                 return
             objects.extend(page.changes.objects)
             revision = revision or page.changes.revision
@@ -385,8 +389,8 @@
     ) -> None:
         """Wait for objects that changed after a revision.
 
-        The call waits on a connection of its own, so that it holds up no
-        other call of its purpose.
+        The call uses a connection of its own, so that it delays no other call
+        of its purpose.
         """
 
         def answered(answer: HttpAnswer | Unavailable) -> None:
@@ -407,9 +411,9 @@
             self._reactor.call_later(0, lambda: on_result(HistoryLost()))
             return
         timeout = wait_ms / 1000 + self._timing.watch_margin
-        lane = f"{purpose}/watch/{kind}"
+        watch_purpose = f"{purpose}/watch/{kind}"
         call = self._dialect.watch(kind, revision_of(after), wait_ms)
-        self._call(call, lane, timeout, answered, waits=True)
+        self._call(call, watch_purpose, timeout, answered, is_long_poll=True)
 
     def vms(
         self,
@@ -435,9 +439,9 @@
         self._call(call, purpose, timeout, answered)
 
     def may_be_incomplete(self, asked_at: float) -> bool:
-        """Tell whether an answer may lack what the store had acknowledged.
+        """Return whether an answer may lack acknowledged updates.
 
-        `asked_at` is when the question was sent.
+        `asked_at` is when the request was sent.
         """
         returned_at = self.restored_at
         return returned_at is not None and asked_at < (
@@ -445,9 +449,9 @@
         )
 
     def close(self) -> None:
-        """Close all connections; calls under way end as unavailable."""
-        for lane in self._lanes.values():
-            lane.client.close()
+        """Close all connections; calls in flight end as unavailable."""
+        for queue in self._queues.values():
+            queue.client.close()
 
     def _read_conflict(self, answer: HttpAnswer) -> Conflict | Unavailable:
         return self._read(
@@ -457,7 +461,7 @@
     def _read(
         self, answer: HttpAnswer, read: Callable[[bytes], Dated]
     ) -> Dated | Unavailable:
-        """Read a body; one that can't be read tells nothing."""
+        """Decode a body; a malformed one means that the outcome is unknown."""
         try:
             return in_era(read(answer.body), self._era_of(answer))
         except (ValueError, KeyError, TypeError) as exc:
@@ -479,51 +483,64 @@
         timeout: float | None,
         on_answer: OnAnswer,
         *,
-        waits: bool = False,
+        is_long_poll: bool = False,
     ) -> None:
-        """Send a call when its lane is free; `waits` if the platform may."""
-        most = timeout or self._timing.timeout
+        """Send a call when its purpose has no other in flight.
+
+        `is_long_poll` is true if the platform may delay the answer.
+        """
+        max_timeout = timeout or self._timing.timeout
         sent_at = 0.0
-        unhurried = (
-            waits or _counted_as(purpose) in self._timing.large_purposes
+        has_fixed_timeout = (
+            is_long_poll
+            or _base_purpose(purpose) in self._timing.large_purposes
         )
-        lane = self._lane(purpose)
+        queue = self._queue_of(purpose)
         counts = self._counts(purpose)
 
         def refuse(refusal: Unavailable) -> None:
-            counts.held += 1
-            # Answered in a later turn, like every other call.
+            counts.refused += 1
+            # Answered in a later turn of the loop, like every other call.
             self._reactor.call_later(0, lambda: on_answer(refusal))
 
         def answered(answer: HttpAnswer | HttpLost) -> None:
-            lane.busy = False
+            queue.is_busy = False
             if isinstance(answer, HttpAnswer):
-                self._note_era(answer)
-            if not unhurried:
-                self._note_time(answer, self._reactor.now() - sent_at)
-            judged = self._judge(lane, counts, call.method, answer)
-            self._send_next(lane)
-            on_answer(judged)
+                self._update_era(answer)
+            if not has_fixed_timeout:
+                self._record_answer_time(answer, self._reactor.now() - sent_at)
+            result = self._classify_answer(queue, counts, call.method, answer)
+            self._send_next(queue)
+            on_answer(result)
 
         def send() -> None:
             nonlocal sent_at
             sent_at = self._reactor.now()
-            limit = most if unhurried else self._times.timeout(most)
+            call_timeout = (
+                max_timeout
+                if has_fixed_timeout
+                else self._adaptive_timeout.timeout(max_timeout)
+            )
             counts.calls += 1
-            header = self._dialect.header(_counted_as(purpose))
-            lane.client.request(
-                call.method, call.path, call.body, limit, answered, header
+            header = self._dialect.header(_base_purpose(purpose))
+            queue.client.request(
+                call.method,
+                call.path,
+                call.body,
+                call_timeout,
+                answered,
+                header,
             )
 
-        if len(lane.waiting) >= MAX_WAITING:
-            refuse(_held(FIRST_BACKOFF))
+        if len(queue.pending) >= MAX_QUEUED_CALLS:
+            refuse(_refused_by_backoff(FIRST_BACKOFF))
             return
-        lane.waiting.append(_Waiting(send=send, refuse=refuse))
-        self._send_next(lane)
+        queue.pending.append(_QueuedCall(send=send, refuse=refuse))
+        self._send_next(queue)
 
-    def _note_era(self, answer: HttpAnswer) -> None:
-        era, first = self._era_of(answer), not self._answered
-        self._answered = True
+    def _update_era(self, answer: HttpAnswer) -> None:
+        era, first = self._era_of(answer), not self._has_answered
+        self._has_answered = True
         if era <= self.era:
             return
         logs.log_event(
@@ -539,7 +556,7 @@
                 callback()
 
     def _era_of(self, answer: HttpAnswer) -> int:
-        """Return the era of an answer; a store without eras stays at 0."""
+        """Return the era of an answer; 0 for a store without eras."""
         if not answer.header:
             return 0
         try:
@@ -552,32 +569,34 @@
             )
             return 0
 
-    def _note_time(
+    def _record_answer_time(
         self, answer: HttpAnswer | HttpLost, seconds: float
     ) -> None:
         match answer:
             case HttpAnswer():
-                self._times.record_answer(seconds)
+                self._adaptive_timeout.record_answer(seconds)
             case HttpLost(reason=reason) if reason == TIMED_OUT:
-                self._times.record_timeout()
-
-    def _send_next(self, lane: _Lane) -> None:
-        """Send what waits, or refuse all of it while the lane backs off."""
-        held = lane.backoff.until - self._reactor.now()
-        while lane.waiting and held > 0:
-            lane.waiting.popleft().refuse(_held(held))
-        if lane.waiting and not lane.busy:
-            lane.busy = True
-            lane.waiting.popleft().send()
-
-    def _judge(
+                self._adaptive_timeout.record_timeout()
+
+    def _send_next(self, queue: _PurposeQueue) -> None:
+        """Send the next queued call, or refuse all during a backoff."""
+        backoff_remaining = queue.backoff.blocked_until - self._reactor.now()
+        while queue.pending and backoff_remaining > 0:
+            queue.pending.popleft().refuse(
+                _refused_by_backoff(backoff_remaining)
+            )
+        if queue.pending and not queue.is_busy:
+            queue.is_busy = True
+            queue.pending.popleft().send()
+
+    def _classify_answer(
         self,
-        lane: _Lane,
+        queue: _PurposeQueue,
         counts: CallCounts,
         method: str,
         answer: HttpAnswer | HttpLost,
     ) -> HttpAnswer | Unavailable:
-        """Tell an answer from a failure, and count failures."""
+        """Return the answer or the failure, and record failures."""
         match answer:
             case HttpLost():
                 maybe_applied = answer.sent and method != "GET"
@@ -589,46 +608,50 @@
                 maybe_applied = method != "GET"
                 reason = f"status {answer.status}"
             case HttpAnswer():
-                lane.backoff.succeeded()
+                queue.backoff.reset()
                 return answer
         counts.failed += 1
-        wait = lane.backoff.failed(self._reactor.now(), self._chance())
+        wait = queue.backoff.record_failure(
+            self._reactor.now(), self._random_float()
+        )
         return Unavailable(
             maybe_applied=maybe_applied, retry_after=wait, reason=reason
         )
 
-    def _lane(self, purpose: str) -> _Lane:
-        lane = self._lanes.get(purpose)
-        if lane is None:
-            limit = self._timing.max_backoff
-            if _counted_as(purpose) in URGENT:
-                limit = min(limit, MAX_URGENT_BACKOFF)
-            lane = _Lane(
+    def _queue_of(self, purpose: str) -> _PurposeQueue:
+        queue = self._queues.get(purpose)
+        if queue is None:
+            max_delay = self._timing.max_backoff
+            if _base_purpose(purpose) in URGENT_PURPOSES:
+                max_delay = min(max_delay, MAX_URGENT_BACKOFF)
+            queue = _PurposeQueue(
                 client=HttpClient(
                     reactor=self._reactor,
                     address=self._address,
                     kept_header=self._dialect.era_header,
                 ),
-                backoff=Backoff(limit=limit, first=self._timing.first_backoff),
+                backoff=Backoff(
+                    max_delay=max_delay, first_delay=self._timing.first_backoff
+                ),
             )
-            self._lanes[purpose] = lane
-        return lane
+            self._queues[purpose] = queue
+        return queue
 
     def _counts(self, purpose: str) -> CallCounts:
-        return self.counts.setdefault(_counted_as(purpose), CallCounts())
+        return self.counts.setdefault(_base_purpose(purpose), CallCounts())
 
 
-def _of_another_era(*, maybe_applied: bool) -> Unavailable:
+def _era_mismatch(*, maybe_applied: bool) -> Unavailable:
     return Unavailable(
         maybe_applied=maybe_applied, retry_after=0.0, reason="store_era"
     )
 
 
-def _held(seconds: float) -> Unavailable:
+def _refused_by_backoff(seconds: float) -> Unavailable:
     return Unavailable(
         maybe_applied=False, retry_after=seconds, reason="backoff"
     )
 
 
-def _counted_as(purpose: str) -> str:
+def _base_purpose(purpose: str) -> str:
     return purpose.partition("/")[0]
--- a/bamboospring/platform_watch.py
+++ b/bamboospring/platform_watch.py
@@ -1,10 +1,10 @@
-"""Read the platform on behalf of the fleet.
+"""Reads the platform for the fleet.
 
-Six VMs, whatever the size of the fleet, watch the table and the groups and
-poll the list of VMs; all others learn from peers. Besides, every VM reads
-what is new to it by itself, at intervals that grow with the fleet, so that
-the platform sees a constant rate: this is what brings a fleet forward whose
-watchers are all gone at once, or a VM that no peer can reach.
+Six VMs, regardless of the fleet size, watch the table and the groups and poll
+the list of VMs; all others receive changes from peers. In addition, every VM
+checks the platform itself at intervals that grow with the fleet, so that the
+platform sees a constant rate. This updates a fleet that has lost all its
+watchers at once, and a VM that no peer can reach.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
 
 __all__ = ["KindWatch", "PlatformWatch"]
 
-# Own checks by the whole fleet, in calls of each kind a second.
-CHECKS_PER_SECOND = 4.0
+# Rate of checks by the whole fleet, in calls of each kind per second.
+MAX_CHECKS_PER_SECOND = 4.0
 SHORTEST_CHECK = 10.0
-# The list of VMs comes whole when it has changed, about 120 bytes for each VM,
-# so that watchers poll it the more seldom the larger it is: at 480 VMs each of
-# the six every 12 s at its own times, which are 2 s between polls.
-VM_LIST_POLLS = 40.0
-# The time until a call that failed with no wait of its own is made again.
+# A changed list of VMs is sent in full, about 120 bytes per VM, so watchers
+# poll a larger list less often. The interval in seconds is the number of VMs
+# divided by this number: at 480 VMs each of the six polls every 12 s at its
+# own times, so there is a poll about every 2 s.
+VMS_PER_POLL_SECOND = 40.0
+# Minimum delay in seconds before a failed call is repeated.
 RETRY_DELAY = 0.1
 
 OnObjects = Callable[[tuple[Found, ...]], None]
@@ -43,8 +44,9 @@
 class KindWatch:
     """Follow one kind of objects: list it once, then watch for changes.
 
-    Only calls one at a time. `on_objects` gets objects in the order of the
-    platform's answers; a lagging answer may bring old versions again.
+    There is at most one call in flight. `on_objects` receives objects in the
+    order of the platform's answers; a lagging answer may contain old versions
+    again.
     """
 
     def __init__(
@@ -60,8 +62,8 @@
         self.is_listed = False
         self.on_listed: list[Callable[[bool], None]] = []
         self.last_response_at = -1e9
-        # When the last answered call was made: the store has shown all that
-        # was stored before.
+        # When the last answered call was sent: all objects that were stored
+        # before have been read.
         self.confirmed_at = -1e9
         self.wait_ms = wait_ms
         self._asked_at = -1e9
@@ -70,21 +72,21 @@
         self._on_objects = on_objects
         self._revision = 0
         self._watching = False
-        self._busy = False
-        # How often in a row a watch had no history to follow.
-        self._losses = 0
+        self._call_in_flight = False
+        # The number of consecutive watches that the store had no history for.
+        self._history_losses = 0
 
     def set_watching(self, watching: bool) -> None:
-        """Watch from now on, or stop after the call under way."""
+        """Start watching, or stop after the call in flight."""
         self._watching = watching
         if watching:
-            self._next()
+            self._continue_watch()
 
     def check(self) -> None:
-        """Read once what is new, unless a call is under way."""
-        if self._busy:
+        """Read the changes once, unless a call is in flight."""
+        if self._call_in_flight:
             return
-        self._begin()
+        self._mark_call_started()
         if not self.is_listed:
             self._platform.list(self.kind, "check", self._answered)
             return
@@ -92,10 +94,10 @@
             self.kind, self._revision, 0, "check", self._answered
         )
 
-    def _next(self) -> None:
-        if self._busy or not self._watching:
+    def _continue_watch(self) -> None:
+        if self._call_in_flight or not self._watching:
             return
-        self._begin()
+        self._mark_call_started()
         if not self.is_listed:
             self._platform.list(self.kind, self.kind, self._answered)
             return
@@ -107,56 +109,57 @@
             self._answered,
         )
 
-    def _begin(self) -> None:
-        self._busy = True
+    def _mark_call_started(self) -> None:
+        self._call_in_flight = True
         self._asked_at = self._reactor.now()
 
     def _answered(self, result: Changes | HistoryLost | Unavailable) -> None:
-        self._busy = False
+        self._call_in_flight = False
         match result:
             case Changes():
-                self._take(result)
-                self._next()
+                self._apply(result)
+                self._continue_watch()
             case HistoryLost():
-                # What changed meanwhile will never come by a watch, so all
-                # is read anew.
+                # A watch will never return the changes made meanwhile, so
+                # all objects are listed again.
                 logs.log_event(
                     "history_lost",
                     kind=self.kind,
                     asked_from=version_text(self._revision),
                 )
                 self.is_listed = False
-                self._losses += 1
-                if self._losses == 1:
-                    self._next()
+                self._history_losses += 1
+                if self._history_losses == 1:
+                    self._continue_watch()
                     return
-                # What was listed is gone as well: this may go on for long.
-                self._reactor.call_later(RETRY_DELAY, self._next)
+                # The history since the list is gone as well, which may
+                # continue for long: wait before the next call.
+                self._reactor.call_later(RETRY_DELAY, self._continue_watch)
             case Unavailable():
-                self._tell_listed(False)
+                self._notify_listed(False)
                 wait = max(RETRY_DELAY, result.retry_after)
-                self._reactor.call_later(wait, self._next)
+                self._reactor.call_later(wait, self._continue_watch)
 
-    def _take(self, changes: Changes) -> None:
-        # After an answer of a lagging copy of the platform the next watch
-        # would bring everything again.
+    def _apply(self, changes: Changes) -> None:
+        # With the lower revision of a lagging copy of the platform, the next
+        # watch would return the same changes again.
         self._revision = max(self._revision, changes.revision)
         if self.is_listed:
-            self._losses = 0
+            self._history_losses = 0
         self.is_listed = True
         self.last_response_at = self._reactor.now()
         self.confirmed_at = self._asked_at
         self._on_objects(changes.objects)
-        self._tell_listed(True)
+        self._notify_listed(True)
 
-    def _tell_listed(self, done: bool) -> None:
+    def _notify_listed(self, done: bool) -> None:
         callbacks, self.on_listed = self.on_listed, []
         for callback in callbacks:
             callback(done)
 
 
 class PlatformWatch:
-    """Watch as one of the fleet's watchers, or check now and then."""
+    """Watch the platform if this VM is a watcher; otherwise check rarely."""
 
     def __init__(
         self,
@@ -169,7 +172,7 @@
         on_groups: OnObjects,
         vm_list_interval: float,
         wait_ms: int,
-        chance: Callable[[], float] = random.random,
+        random_float: Callable[[], float] = random.random,
     ) -> None:
         self._reactor = reactor
         self._board = board
@@ -177,15 +180,15 @@
         self._platform = platform
         self._store = store
         self._vm_list_interval = vm_list_interval
-        self._chance = chance
-        self._vms_busy = False
-        self._vms_whole = False
+        self._random_float = random_float
+        self._vm_list_in_flight = False
+        self._needs_full_vm_list = False
         self.table = KindWatch(
             reactor=reactor,
             platform=platform,
             kind="table",
             wait_ms=wait_ms,
-            on_objects=self._take_table,
+            on_objects=self._apply_table,
         )
         self.groups = KindWatch(
             reactor=reactor,
@@ -197,73 +200,73 @@
 
     @property
     def is_watcher(self) -> bool:
-        """Say whether this VM watches on behalf of all."""
+        """Return whether this VM watches the platform for the fleet."""
         watchers = self._placement.platform_watchers()
         return any(vm.name == self._board.local_vm.name for vm in watchers)
 
     def start(self) -> None:
-        """Read the list of VMs and the table, then go on as due."""
+        """Read the list of VMs and the table, and schedule further calls."""
         self._poll_vms()
         self.table.check()
-        self._check_later()
+        self._schedule_check()
 
     def follow_placement(self) -> None:
-        """Take up or give up watching after a change of the VMs."""
+        """Start or stop watching after a change of the VMs."""
         watching = self.is_watcher
         self.table.set_watching(watching)
         self.groups.set_watching(watching)
 
     def read_vms(self, purpose: str) -> None:
-        """Read the list of VMs once, unless a read is under way."""
-        if self._vms_busy:
+        """Read the list of VMs once, unless a read is in flight."""
+        if self._vm_list_in_flight:
             return
-        self._vms_busy = True
-        after = 0 if self._vms_whole else self._board.vms_revision
-        self._platform.vms(self._take_vms, purpose=purpose, after=after)
+        self._vm_list_in_flight = True
+        after = 0 if self._needs_full_vm_list else self._board.vms_revision
+        self._platform.vms(self._apply_vms, purpose=purpose, after=after)
 
     def _poll_vms(self) -> None:
-        # Until the first list is here nobody can say who polls it.
+        # The watchers are unknown until the first list has been read.
         if self.is_watcher or self._board.vms_revision == 0:
             self.read_vms("vms")
-        interval = len(self._board.vms) / VM_LIST_POLLS
+        interval = len(self._board.vms) / VMS_PER_POLL_SECOND
         interval = max(interval, self._vm_list_interval)
-        wait = interval * (0.75 + self._chance() / 2)
+        wait = interval * (0.75 + self._random_float() / 2)
         self._reactor.call_later(wait, self._poll_vms)
 
-    def _check_later(self) -> None:
+    def _schedule_check(self) -> None:
         fleet = len(self._board.vms)
-        interval = max(SHORTEST_CHECK, fleet / CHECKS_PER_SECOND)
-        wait = interval * (0.5 + self._chance())
+        interval = max(SHORTEST_CHECK, fleet / MAX_CHECKS_PER_SECOND)
+        wait = interval * (0.5 + self._random_float())
         self._reactor.call_later(wait, self._check)
 
     def _check(self) -> None:
         if not self.is_watcher:
             self.table.check()
             self.read_vms("check")
-        self._check_later()
+        self._schedule_check()
 
-    def _take_table(self, objects: tuple[Found, ...]) -> None:
+    def _apply_table(self, objects: tuple[Found, ...]) -> None:
         for item in objects:
             self._store.apply_shard_value(item.name, item.version, item.value)
 
-    def _take_vms(self, result: VmsFound | Unavailable) -> None:
-        self._vms_busy = False
+    def _apply_vms(self, result: VmsFound | Unavailable) -> None:
+        self._vm_list_in_flight = False
         match result:
             case VmsFound(vms=None):
                 self._confirm_vms(result.revision)
             case VmsFound():
-                self._vms_whole = False
+                self._needs_full_vm_list = False
                 self._store.apply_vms(result.revision, result.vms or ())
 
     def _confirm_vms(self, revision: int) -> None:
-        """Note that the platform has the list that we have.
+        """Record that the platform's list is the one that this VM has.
 
-        Left out although it is newer than ours, the list is asked for whole:
-        taken as it stands, such an answer would be the empty list, and this
-        VM would serve nothing. Asked for once more at the next poll, not at
-        once, so that a platform that errs is not asked without a pause.
+        If the list was omitted although it is newer, the full list is
+        requested: treating such an answer as an empty list would make this VM
+        serve nothing. The request is made at the next poll and not at once, so
+        that a faulty platform is not called without a pause.
         """
         if revision > self._board.vms_revision:
-            self._vms_whole = True
+            self._needs_full_vm_list = True
             return
         self._store.confirm_vms(revision)
--- a/bamboospring/primary_choice.py
+++ b/bamboospring/primary_choice.py
@@ -1,4 +1,4 @@
-"""Which of the targets stopped at a term is to be its primary."""
+"""Choice of the new primary among the targets fenced at a term."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def log_end(probe: ProbeResult) -> tuple[int, int]:
-    """Return what orders two logs: the later end holds all of the other."""
+    """Return the sort key of a log; the later of two contains the other."""
     return probe.last_term, probe.received
 
 
@@ -17,17 +17,18 @@
     majority: int,
     preferred: tuple[str, ...],
     *,
-    planned: bool,
-    failed: str = "",
+    is_planned: bool,
+    failed_primary: str = "",
 ) -> str:
-    """Return the target to promote out of those stopped at the term.
-
-    Safe is each that is at least as advanced as enough others to make a
-    majority with it, because an acknowledged write is held by one of any
-    majority. A planned change takes the preferred one if it is safe. Any
-    other takes the most advanced, since that one may also hold writes whose
-    callers wait. One that others took for failed comes last, although it
-    answered here. Empty if no majority is stopped.
+    """Return the target to promote among those fenced at the term.
+
+    A target is safe if it is at least as advanced as enough others to form a
+    majority with it, because every majority includes a target that holds a
+    given acknowledged write. A planned change chooses the preferred target if
+    it is safe. Any other change chooses the most advanced target, which may
+    also hold writes whose callers still wait. A target that others reported
+    as failed is chosen last, although it answered. The result is empty if no
+    majority is fenced.
     """
     if len(fenced) < majority:
         return ""
@@ -38,8 +39,8 @@
         if sum(other <= end for other in ends.values()) >= majority
     ]
     ranks = {name: -place for place, name in enumerate(preferred)}
-    worst = -len(preferred)
-    if planned:
+    lowest_rank = -len(preferred)
+    if is_planned:
         safe = [name for name in preferred if name in safe][:1] or safe
-    safe = [name for name in safe if name != failed] or safe
-    return max(safe, key=lambda n: (ends[n], ranks.get(n, worst), n))
+    safe = [name for name in safe if name != failed_primary] or safe
+    return max(safe, key=lambda n: (ends[n], ranks.get(n, lowest_rank), n))
--- a/bamboospring/process.py
+++ b/bamboospring/process.py
@@ -1,4 +1,4 @@
-"""What the main process of a VM and its entry-only processes share."""
+"""The base class of a VM's main process and its entry-only processes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 __all__ = ["Process"]
 
-READY_CHECK = 0.05
+READY_CHECK_INTERVAL = 0.05
 
 
 class Process(Component):
@@ -53,7 +53,7 @@
         self.cfg = cfg
         self.reactor = Reactor().register(self)
         self.rotation = Rotation(reactor=self.reactor, path=path, load=load)
-        self.rotation.add(self._take_settings)
+        self.rotation.add(self._apply_settings)
         self.board = Blackboard(
             local_vm=Vm(
                 name=cfg.vm,
@@ -102,11 +102,13 @@
         self._open_when_ready()
 
     def _open_when_ready(self) -> None:
-        """Share the callers' address once this process can serve them."""
+        """Listen on the callers' address once this process can serve them."""
         if self.board.draining:
             return
         if unreadiness(self.board):
-            self.reactor.call_later(READY_CHECK, self._open_when_ready)
+            self.reactor.call_later(
+                READY_CHECK_INTERVAL, self._open_when_ready
+            )
             return
         self.entry.server.listener.open()
 
@@ -117,9 +119,9 @@
             board=self.board,
             peers=self.peers,
             callers=self.entry.server,
-            notice=timing.drain_notice_ms / 1000,
-            patience=timing.drain_idle_ms / 1000,
-            limit=timing.drain_ms / 1000,
+            notice_period=timing.drain_notice_ms / 1000,
+            idle_grace=timing.drain_idle_ms / 1000,
+            max_duration=timing.drain_ms / 1000,
         ).register(self)
 
     def _make_operators(
@@ -162,7 +164,7 @@
         found = objectives.groups.get(group, objectives.default)
         return found.latency_ms / 1000
 
-    def _take_settings(self, cfg: Settings) -> None:
+    def _apply_settings(self, cfg: Settings) -> None:
         self.cfg = cfg
         self.codec.set_keys(_token_keys(cfg))
         logs.configure(level=cfg.logs.level, vm=cfg.vm)
--- a/bamboospring/records.py
+++ b/bamboospring/records.py
@@ -1,7 +1,7 @@
-"""Turn the platform's objects into the blackboard's types and back.
+"""Conversion between the platform's objects and the blackboard's types.
 
-A malformed object gives None and is for the caller to log: what somebody
-wrote by hand must not stop a process, and the last good version stays in
+Decoding a malformed object returns None, which the caller logs: an object that
+was edited by hand must not stop a process, and the last valid version stays in
 force.
 """
 
@@ -34,7 +34,7 @@
 
 
 def decode_group(name: str, version: int, value: Any) -> GroupRecord | None:
-    """Return the record in a group's object."""
+    """Decode the record in a group's object."""
     try:
         targets = tuple(_decode_target(t) for t in value["targets"])
         settled = tuple(str(name) for name in value.get("settled", ()))
@@ -55,7 +55,7 @@
 
 
 def encode_group(record: GroupRecord) -> dict[str, Any]:
-    """Return the value of a group's object."""
+    """Encode a record as the value of a group's object."""
     return {
         "targets": [_encode_target(t) for t in record.targets],
         "term": record.term,
@@ -66,7 +66,7 @@
 
 
 def decode_shard(shard: int, version: int, value: Any) -> TableShard | None:
-    """Return the rows in a table shard's object."""
+    """Decode the rows in a table shard's object."""
     try:
         rows = {
             group: decode_row(group, row)
@@ -78,13 +78,13 @@
 
 
 def encode_shard(shard: TableShard) -> dict[str, Any]:
-    """Return a shard's rows as JSON, without the history."""
+    """Encode a shard's rows as JSON, without the history."""
     rows = {name: encode_row(row) for name, row in shard.rows.items()}
     return {"rows": rows}
 
 
 def decode_row(group: str, row: Mapping[str, Any]) -> TableRow:
-    """Return a row; raise one of `MALFORMED` if it is none."""
+    """Decode a row; raise one of `MALFORMED` if it is malformed."""
     return TableRow(
         group=group,
         read_weights=_decode_weights(row.get("read_weights", {})),
@@ -97,7 +97,7 @@
 
 
 def encode_row(row: TableRow) -> dict[str, Any]:
-    """Return a row as JSON."""
+    """Encode a row as JSON."""
     return {
         "group": row.group,
         "read_weights": dict(row.read_weights),
@@ -110,7 +110,7 @@
 
 
 def decode_vm(value: Mapping[str, Any]) -> Vm | None:
-    """Return a VM of the platform's list."""
+    """Decode a VM of the platform's list."""
     try:
         return Vm(
             name=value["name"],
@@ -124,7 +124,7 @@
 
 
 def encode_vm(vm: Vm) -> dict[str, str]:
-    """Return a VM as in the platform's list."""
+    """Encode a VM as in the platform's list."""
     return {
         "name": vm.name,
         "address": vm.address,
