--- a/bamboospring/rendezvous.py
+++ b/bamboospring/rendezvous.py
@@ -1,18 +1,19 @@
-"""Which VMs serve which group, bucket or shard, by rendezvous hashing.
+"""Placement of groups, buckets and shards on VMs by rendezvous hashing.
 
-Every VM works this out alone from the same list of VMs. Each key orders the
-VMs by a hash of key and VM name, so that a VM that comes or goes moves only
-the keys that it holds: on average 1/n of them. A holder set takes the best
-VM, then the best VMs of availability zones not yet used, so that the loss of
-one zone leaves holders, and with two regions at least one in each.
+Every VM computes the placement independently from the same list of VMs. Each
+key orders the VMs by a hash of key and VM name, so that adding or removing a
+VM moves only the keys that it holds: on average 1/n of them. A set of holders
+consists of the highest-ranked VM and then the highest-ranked VMs of
+availability zones not yet used, so that holders remain if one zone is lost.
+With two regions there is at least one holder in each.
 
     choose_holders("baze-comutare-1", vms, 3)
 
-So chosen, some VMs hold three times as many groups as others. `EvenHolders`
-keeps the zones of that choice and lets a group pass over a VM that has its
-part of the groups already, for one of the next two of the same zone. Who
-passes over whom depends on the names of all groups; that a holder is one of
-the first VMs of its zone does not.
+With this choice alone, some VMs hold three times as many groups as others.
+`BalancedHolders` keeps the zones of that choice, but skips a VM that already
+holds its limit of groups in favour of one of the next two VMs of the same
+zone. Which VMs are skipped depends on the names of all groups; that a holder
+is one of the first VMs of its zone does not.
 """
 
 from __future__ import annotations
@@ -34,16 +35,16 @@
     "BUCKET_COUNT",
     "BalancedHolders",
     "HOLDERS_PER_GROUP",
+    "NEIGHBOUR_COUNT",
+    "PLATFORM_WATCHER_COUNT",
     "Placement",
     "SHARD_COUNT",
-    "PLATFORM_WATCHER_COUNT",
-    "NEIGHBOUR_COUNT",
     "bucket_of",
     "choose_candidates",
     "choose_holders",
     "choose_neighbours",
-    "choose_possible_holders",
     "choose_platform_watchers",
+    "choose_possible_holders",
     "rank_vms",
     "shard_of",
 ]
@@ -53,19 +54,22 @@
 HOLDERS_PER_GROUP = 3
 CANDIDATES_PER_BUCKET = 3
 NEIGHBOUR_COUNT = 4
-# A VM takes this many times the average of groups, then it is passed over.
-# Less moves more places on each change, more leaves the fullest VM fuller.
-LOAD_FACTOR = 1.2
-# Fewer groups on a VM than this are no load that is worth moving them for.
-MIN_LOAD = 4
-# A group that passes a VM over takes one of the next two of the same zone. No
-# more, because a VM asks all that may be holders before its share grows.
-SPARE_IN_PLACE = 2
-# So many VMs that joined a zone above a former holder in one moment, with no
-# other holder left to tell of it, do not hide it.
-JOINED_IN_PLACE = 2
-# Watching VMs cost the platform a waiting call each, whatever the size of the
-# fleet; six, in as many zones, outlast the loss of any region.
+# A VM that holds this many times the average number of groups is skipped. A
+# smaller factor moves more groups on each change; a larger one allows a higher
+# maximum load.
+MAX_LOAD_FACTOR = 1.2
+# A VM may always hold this many groups: balancing smaller loads is not worth
+# moving groups.
+MIN_GROUP_LIMIT = 4
+# A group that skips a VM uses one of this many next VMs of the same zone. The
+# number is small because a VM asks all possible holders before its share
+# grows.
+ALTERNATIVES_PER_ZONE = 2
+# A former holder is still found if this many VMs that rank above it join its
+# zone at once and no other holder is left that knows of it.
+JOINS_PER_ZONE = 2
+# Each VM that watches the platform costs it one waiting call, regardless of
+# the fleet size. Six VMs in as many zones survive the loss of any region.
 PLATFORM_WATCHER_COUNT = 6
 
 
@@ -79,21 +83,21 @@
     return _hash(group) % SHARD_COUNT
 
 
-class Named(Protocol):
-    """A VM, as far as its place in an order needs it."""
+class HasName(Protocol):
+    """An object that is ranked by its name, such as a VM."""
 
     @property
     def name(self) -> str:
-        """Return the VM's name, which is its own in the whole fleet."""
+        """Return the name, which is unique in the fleet."""
 
 
-NamedT = TypeVar("NamedT", bound=Named)
+HasNameT = TypeVar("HasNameT", bound=HasName)
 
 
-def rank_vms(key: str, vms: Iterable[NamedT]) -> list[NamedT]:
-    """Order VMs by their weight for a key, best first.
+def rank_vms(key: str, vms: Iterable[HasNameT]) -> list[HasNameT]:
+    """Order VMs by their hash weight for a key, highest first.
 
-    The order of any two VMs depends on nothing but the key and their names.
+    The order of any two VMs depends only on the key and their names.
     """
     seed = _hash(key)
     return sorted(
@@ -106,196 +110,211 @@
 def choose_holders(key: str, vms: Iterable[Vm], count: int) -> tuple[Vm, ...]:
     """Return up to `count` VMs for a key, spread over zones and regions.
 
-    Leaving VMs are chosen only while no others are left, so that a fleet
-    that is told to leave altogether still serves.
+    Leaving VMs are chosen only if there are no others, so that a fleet still
+    serves if all its VMs are told to leave.
     """
     ranked = _ranked_live(key, vms)
-    spread = _Spread(regions={vm.region for vm in ranked})
+    spread = _ZoneSpread(regions={vm.region for vm in ranked})
     for _ in range(min(count, len(ranked))):
         spread.choose_from(ranked)
     return tuple(spread.chosen)
 
 
-def choose_neighbours(me: str, vms: Collection[Vm]) -> tuple[Vm, ...]:
-    """Return the few VMs with which a VM compares versions.
+def choose_neighbours(local_name: str, vms: Collection[Vm]) -> tuple[Vm, ...]:
+    """Return the VMs with which a VM compares versions.
 
-    Two are of its own zone, one of another zone and one of another region,
-    as far as there are such. Since others choose us too, a VM has about
-    eight links. So many random links keep the fleet connected, in few hops,
-    when a tenth of it or a whole zone is gone.
+    Two are in its own zone, one in another zone and one in another region, if
+    they exist. As other VMs choose it too, a VM has about eight links. This
+    number of random links keeps the fleet connected within few hops if a tenth
+    of it or a whole zone is lost.
     """
-    ranked = [vm for vm in rank_vms(f"neighbours/{me}", vms) if vm.name != me]
-    own = next((vm for vm in vms if vm.name == me), None)
-    if own is None:
+    ranked = [
+        vm
+        for vm in rank_vms(f"neighbours/{local_name}", vms)
+        if vm.name != local_name
+    ]
+    local_vm = next((vm for vm in vms if vm.name == local_name), None)
+    if local_vm is None:
         return tuple(ranked[:NEIGHBOUR_COUNT])
-    near = [vm for vm in ranked if _place(vm) == _place(own)][:2]
-    beside = [
+    same_zone = [vm for vm in ranked if _zone_of(vm) == _zone_of(local_vm)][:2]
+    same_region = [
         vm
         for vm in ranked
-        if vm.region == own.region and _place(vm) != _place(own)
+        if vm.region == local_vm.region and _zone_of(vm) != _zone_of(local_vm)
     ][:1]
-    far = [vm for vm in ranked if vm.region != own.region][:1]
-    chosen = near + beside + far
+    other_region = [vm for vm in ranked if vm.region != local_vm.region][:1]
+    chosen = same_zone + same_region + other_region
     names = {vm.name for vm in chosen}
     rest = [vm for vm in ranked if vm.name not in names]
     return tuple(chosen + rest[: NEIGHBOUR_COUNT - len(chosen)])
 
 
 def choose_candidates(bucket: int, vms: Iterable[Vm]) -> tuple[Vm, ...]:
-    """Return the VMs that may lead a lease bucket, the preferred first."""
+    """Return the VMs that may lead a lease bucket, best first."""
     return choose_holders(f"bucket/{bucket}", vms, CANDIDATES_PER_BUCKET)
 
 
 def choose_platform_watchers(vms: Iterable[Vm]) -> tuple[Vm, ...]:
-    """Return the VMs that watch the platform on behalf of all."""
+    """Return the VMs that watch the platform for the whole fleet."""
     return choose_holders("watchers", vms, PLATFORM_WATCHER_COUNT)
 
 
 def choose_possible_holders(
     group: str, vms: Iterable[Vm], listed: Collection[str]
 ) -> frozenset[str]:
-    """Return the VMs that may be, or shortly have been, a group's holder.
-
-    `vms` are those of the list and those that have just gone from it;
-    `listed` are the names of the former. With too few, two VMs could use the
-    same part of a limit: the target would refuse what one of them sends. The
-    names of groups do not matter here, because `EvenHolders` chooses among
-    the first live VMs of a zone for any of them. VMs that leave or are gone
-    count for nothing: they may stand above all live ones.
+    """Return the names of VMs that may hold a group, or recently did.
+
+    `vms` are the VMs of the list and those that were just removed from it;
+    `listed` are the names of the former. If a possible holder were missing,
+    two VMs could use the same part of a limit, and the target would refuse
+    statements of one of them. The result does not depend on the names of
+    groups, because `BalancedHolders` always chooses among the first live VMs
+    of a zone. Leaving and removed VMs do not count towards the depth, because
+    they may rank above all live ones.
     """
     known = list(vms)
-    live = _live([vm for vm in known if vm.name in listed])
+    live = _live_or_all([vm for vm in known if vm.name in listed])
     names = {vm.name for vm in live}
-    depth = _candidates_in_place(live) + JOINED_IN_PLACE
+    depth = _candidates_per_zone(live) + JOINS_PER_ZONE
     found = []
     above: Counter[tuple[str, str]] = Counter()
     for vm in rank_vms(group, known):
-        if above[_place(vm)] >= depth:
+        if above[_zone_of(vm)] >= depth:
             continue
         found.append(vm.name)
-        above[_place(vm)] += vm.name in names
+        above[_zone_of(vm)] += vm.name in names
     return frozenset(found)
 
 
 class BalancedHolders:
-    """The holders of all groups, with about the same number on each VM.
+    """The holders of all groups, with a balanced number of groups per VM.
 
-    Groups are placed in an order that all VMs compute alike, each on the VMs
-    of its zones that have room. It keeps the first VMs of each zone for each
-    group, so that a new list costs little: only groups that have a VM that
-    went, or one that came, among their first are ranked again.
+    Groups are placed in an order that is the same on all VMs, each on VMs of
+    its zones that are below their limit. The first VMs of each zone are kept
+    for each group to make a new list cheap: only groups for which a removed
+    or an added VM is among the first are ranked again.
     """
 
     def __init__(self) -> None:
         self._members: dict[tuple[str, str], tuple[str, ...]] = {}
         self._vms: dict[str, Vm] = {}
         self._depth = 0
-        self._first: dict[str, dict[tuple[str, str], tuple[str, ...]]] = {}
-        self._plain: dict[str, tuple[str, ...]] = {}
+        self._first_ranked: dict[
+            str, dict[tuple[str, str], tuple[str, ...]]
+        ] = {}
+        self._unbalanced: dict[str, tuple[str, ...]] = {}
 
     def set_vms(self, vms: Iterable[Vm]) -> None:
-        """Take a new list of VMs."""
-        live = _live(vms)
+        """Replace the list of VMs."""
+        live = _live_or_all(vms)
         members: dict[tuple[str, str], list[str]] = {}
         for vm in live:
-            members.setdefault(_place(vm), []).append(vm.name)
+            members.setdefault(_zone_of(vm), []).append(vm.name)
         before, self._members = self._members, {
-            place: tuple(names) for place, names in members.items()
+            zone: tuple(names) for zone, names in members.items()
         }
         self._vms = {vm.name: vm for vm in live}
-        depth = _candidates_in_place(live)
+        depth = _candidates_per_zone(live)
         if depth != self._depth:
             self._depth = depth
-            self._first.clear()
-            self._plain.clear()
+            self._first_ranked.clear()
+            self._unbalanced.clear()
         if before.keys() != self._members.keys():
-            self._plain.clear()
-        for place in before.keys() | self._members.keys():
-            self._follow(place, before.get(place, ()))
+            self._unbalanced.clear()
+        for zone in before.keys() | self._members.keys():
+            self._update_zone(zone, before.get(zone, ()))
 
     def prepare(self, groups: Iterable[str], count: int) -> bool:
-        """Rank VMs for up to `count` groups; tell whether that was all."""
-        missing = [name for name in groups if name not in self._first]
+        """Rank VMs for up to `count` groups; return whether all are ranked."""
+        missing = [name for name in groups if name not in self._first_ranked]
         for name in missing[:count]:
-            self._first[name] = {
-                place: self._best(name, names)
-                for place, names in self._members.items()
+            self._first_ranked[name] = {
+                zone: self._rank_first(name, names)
+                for zone, names in self._members.items()
             }
         return len(missing) <= count
 
     def choose(self, groups: Collection[str]) -> dict[str, tuple[Vm, ...]]:
-        """Return the holders of each group; all of them are placed anew."""
+        """Return the holders of each group, placing all groups again."""
         if not self._vms:
             return {}
         self.prepare(groups, len(groups))
-        held = min(HOLDERS_PER_GROUP, len(self._vms)) * len(groups)
-        room = max(MIN_LOAD, LOAD_FACTOR * held / len(self._vms))
-        # Rounded up for some VMs and down for others, so that one group or VM
-        # more changes the room on a few of them and not on all at once.
-        left = {name: int(room + _fraction(name)) for name in self._vms}
+        holder_count = min(HOLDERS_PER_GROUP, len(self._vms)) * len(groups)
+        limit = max(
+            MIN_GROUP_LIMIT, MAX_LOAD_FACTOR * holder_count / len(self._vms)
+        )
+        # The limit is rounded up for some VMs and down for others, so that one
+        # more group or VM changes it on a few VMs and not on all at once.
+        remaining = {name: int(limit + _fraction(name)) for name in self._vms}
         return {
-            group: self._take(group, left)
+            group: self._choose_balanced(group, remaining)
             for group in sorted(groups, key=lambda name: (_hash(name), name))
         }
 
-    def _take(self, group: str, left: dict[str, int]) -> tuple[Vm, ...]:
-        plain = self._choose_plain(group)
-        places = [_place(self._vms[name]) for name in plain]
+    def _choose_balanced(
+        self, group: str, remaining: dict[str, int]
+    ) -> tuple[Vm, ...]:
+        unbalanced = self._choose_unbalanced(group)
+        zones = [_zone_of(self._vms[name]) for name in unbalanced]
         chosen: list[str] = []
-        for place in places:
-            end = places.count(place) + SPARE_IN_PLACE
-            open_to = [
+        for zone in zones:
+            end = zones.count(zone) + ALTERNATIVES_PER_ZONE
+            available = [
                 name
-                for name in self._first[group][place][:end]
+                for name in self._first_ranked[group][zone][:end]
                 if name not in chosen
             ]
-            best = max(open_to, key=lambda name: min(left[name], 1))
-            left[best] -= 1
+            best = max(available, key=lambda name: min(remaining[name], 1))
+            remaining[best] -= 1
             chosen.append(best)
         return tuple(self._vms[name] for name in chosen)
 
-    def _choose_plain(self, group: str) -> tuple[str, ...]:
-        found = self._plain.get(group)
+    def _choose_unbalanced(self, group: str) -> tuple[str, ...]:
+        found = self._unbalanced.get(group)
         if found is None:
-            first = self._first[group].values()
+            first = self._first_ranked[group].values()
             vms = [self._vms[name] for names in first for name in names]
             chosen = choose_holders(group, vms, HOLDERS_PER_GROUP)
-            found = self._plain[group] = tuple(vm.name for vm in chosen)
+            found = self._unbalanced[group] = tuple(vm.name for vm in chosen)
         return found
 
-    def _follow(self, place: tuple[str, str], before: Sequence[str]) -> None:
-        now = self._members.get(place, ())
+    def _update_zone(
+        self, zone: tuple[str, str], before: Sequence[str]
+    ) -> None:
+        now = self._members.get(zone, ())
         joined = [name for name in now if name not in set(before)]
-        gone = set(before).difference(now)
-        if not joined and not gone:
+        removed = set(before).difference(now)
+        if not joined and not removed:
             return
-        for group, first in self._first.items():
-            old = first.get(place, ())
-            if gone.isdisjoint(old):
-                new = self._best(group, (*old, *joined)) if joined else old
+        for group, first in self._first_ranked.items():
+            old = first.get(zone, ())
+            if removed.isdisjoint(old):
+                new = (
+                    self._rank_first(group, (*old, *joined)) if joined else old
+                )
             else:
-                new = self._best(group, now)
+                new = self._rank_first(group, now)
             if new != old:
-                first[place] = new
-                self._plain.pop(group, None)
+                first[zone] = new
+                self._unbalanced.pop(group, None)
             if not now:
-                del first[place]
+                del first[zone]
 
-    def _best(self, group: str, names: Iterable[str]) -> tuple[str, ...]:
+    def _rank_first(self, group: str, names: Iterable[str]) -> tuple[str, ...]:
         return tuple(_rank_names(group, names)[: self._depth])
 
 
 class Placement:
-    """Answers of this module, kept until the list of VMs changes.
+    """Cached results of this module, valid until the list of VMs changes.
 
     Ranking 480 VMs for one key takes a fraction of a millisecond, which is
     too long for each statement. `set_vms` is called with each new list.
-    Once the names of all groups are known they are given to `set_groups`,
-    then `prepare` is called until it is done; from then on holders are even.
-    A group without a place in that, or before, has the holders that it would
-    have alone. VMs that know different names choose different holders for
-    some groups: those go on with the shares that they have, and no share
-    grows until they choose alike (`shares.py`).
+    Once the names of all groups are known, `set_groups` is called with them
+    and then `prepare` until it returns True; from then on holders are
+    balanced. Before that, and for a group that is not among them, the holders
+    are those that `choose_holders` returns. VMs that know different names
+    choose different holders for some groups: they keep the shares that they
+    have, and no share grows until they choose the same (`shares.py`).
     """
 
     def __init__(
@@ -303,10 +322,10 @@
     ) -> None:
         self.version = 0
         self._vms: tuple[Vm, ...] = ()
-        self._known: dict[tuple[str, int], tuple[Vm, ...]] = {}
-        self._even = BalancedHolders()
-        self._placed: frozenset[str] = frozenset()
-        self._wanted: frozenset[str] = frozenset()
+        self._cached: dict[tuple[str, int], tuple[Vm, ...]] = {}
+        self._balanced = BalancedHolders()
+        self._placed_groups: frozenset[str] = frozenset()
+        self._wanted_groups: frozenset[str] = frozenset()
         self._holders: Mapping[str, tuple[Vm, ...]] = {}
         self.set_vms(vms)
         self.set_groups(groups)
@@ -314,34 +333,36 @@
 
     @property
     def vms(self) -> tuple[Vm, ...]:
-        """The list that the answers are for."""
+        """The list of VMs that the results are for."""
         return self._vms
 
     def set_vms(self, vms: Iterable[Vm]) -> None:
-        """Take a new list of VMs; known answers are kept if it is equal."""
-        taken = tuple(vms)
-        if taken == self._vms:
+        """Replace the list of VMs; keep cached results if it is equal."""
+        new_vms = tuple(vms)
+        if new_vms == self._vms:
             return
-        self._vms = taken
-        self._known.clear()
-        self._even.set_vms(taken)
+        self._vms = new_vms
+        self._cached.clear()
+        self._balanced.set_vms(new_vms)
         self._choose()
 
     def set_groups(self, names: Collection[str]) -> None:
-        """Take the names of all groups; `prepare` puts them in force."""
-        if len(names) != len(self._wanted) or self._wanted != set(names):
-            self._wanted = frozenset(names)
+        """Set the names of all groups; `prepare` puts them in force."""
+        if len(names) != len(
+            self._wanted_groups
+        ) or self._wanted_groups != set(names):
+            self._wanted_groups = frozenset(names)
 
     def prepare(self, count: int) -> bool:
-        """Work on up to `count` groups; tell whether all are in force.
+        """Rank up to `count` groups; return whether all names are in force.
 
-        Until then the holders are those of the names before.
+        Until then the holders are those of the previous names.
         """
-        if self._wanted == self._placed:
+        if self._wanted_groups == self._placed_groups:
             return True
-        if not self._even.prepare(self._wanted, count):
+        if not self._balanced.prepare(self._wanted_groups, count):
             return False
-        self._placed = self._wanted
+        self._placed_groups = self._wanted_groups
         self._choose()
         return True
 
@@ -351,25 +372,25 @@
         """Return the VMs that hold a group."""
         if count == HOLDERS_PER_GROUP and group in self._holders:
             return self._holders[group]
-        return self._get(group, count)
+        return self._cached_holders(group, count)
 
     def candidates(self, bucket: int) -> tuple[Vm, ...]:
         """Return the VMs that may lead a lease bucket."""
-        return self._get(f"bucket/{bucket}", CANDIDATES_PER_BUCKET)
+        return self._cached_holders(f"bucket/{bucket}", CANDIDATES_PER_BUCKET)
 
     def platform_watchers(self) -> tuple[Vm, ...]:
-        """Return the VMs that watch the platform on behalf of all."""
-        return self._get("watchers", PLATFORM_WATCHER_COUNT)
+        """Return the VMs that watch the platform for the whole fleet."""
+        return self._cached_holders("watchers", PLATFORM_WATCHER_COUNT)
 
     def _choose(self) -> None:
         self.version += 1
-        self._holders = self._even.choose(self._placed)
+        self._holders = self._balanced.choose(self._placed_groups)
 
-    def _get(self, key: str, count: int) -> tuple[Vm, ...]:
-        found = self._known.get((key, count))
+    def _cached_holders(self, key: str, count: int) -> tuple[Vm, ...]:
+        found = self._cached.get((key, count))
         if found is None:
             found = choose_holders(key, self._vms, count)
-            self._known[key, count] = found
+            self._cached[key, count] = found
         return found
 
 
@@ -381,22 +402,22 @@
     return _hash(f"room/{name}") / 2**64
 
 
-def _live(vms: Iterable[Vm]) -> list[Vm]:
+def _live_or_all(vms: Iterable[Vm]) -> list[Vm]:
     """Return the VMs that are not leaving, or all if there are no others."""
     known = list(vms)
     live = [vm for vm in known if vm.liveness is Liveness.LIVE]
     return live or known
 
 
-def _candidates_in_place(live: Iterable[Vm]) -> int:
-    """Return among how many VMs of a zone a group's holders are chosen."""
-    places = len({_place(vm) for vm in live})
-    taken = -(-HOLDERS_PER_GROUP // max(1, places))
-    return taken + SPARE_IN_PLACE
+def _candidates_per_zone(live: Iterable[Vm]) -> int:
+    """Return how many VMs of a zone a group's holders are chosen from."""
+    places = len({_zone_of(vm) for vm in live})
+    holders_per_zone = -(-HOLDERS_PER_GROUP // max(1, places))
+    return holders_per_zone + ALTERNATIVES_PER_ZONE
 
 
 def _rank_names(key: str, names: Iterable[str]) -> list[str]:
-    """Order names of VMs as `rank` orders VMs."""
+    """Order names of VMs as `rank_vms` orders VMs."""
     seed = _hash(key)
     return sorted(
         names,
@@ -406,15 +427,15 @@
 
 
 def _ranked_live(key: str, vms: Iterable[Vm]) -> list[Vm]:
-    return rank_vms(key, _live(vms))
+    return rank_vms(key, _live_or_all(vms))
 
 
-def _place(vm: Vm) -> tuple[str, str]:
+def _zone_of(vm: Vm) -> tuple[str, str]:
     return vm.region, vm.availability_zone
 
 
-class _Spread:
-    """VMs chosen so far, and how many of them each place has."""
+class _ZoneSpread:
+    """The VMs chosen so far and their number per zone and region."""
 
     def __init__(self, *, regions: set[str]) -> None:
         self.chosen: list[Vm] = []
@@ -422,7 +443,7 @@
         self._in_zone: dict[tuple[str, str], int] = {}
 
     def choose_from(self, ranked: Iterable[Vm]) -> None:
-        """Add the best VM of the places that are used least."""
+        """Add the highest-ranked VM of the least used region and zone."""
         fewest = min(self._in_region.values())
         best: Vm | None = None
         best_use = (len(self.chosen) + 1, 0)
@@ -436,10 +457,10 @@
             self._add(best)
 
     def _use(self, vm: Vm) -> tuple[int, int]:
-        return self._in_region[vm.region], self._in_zone.get(_place(vm), 0)
+        return self._in_region[vm.region], self._in_zone.get(_zone_of(vm), 0)
 
     def _add(self, vm: Vm) -> None:
         self.chosen.append(vm)
         self._in_region[vm.region] += 1
-        place = _place(vm)
+        place = _zone_of(vm)
         self._in_zone[place] = self._in_zone.get(place, 0) + 1
--- a/bamboospring/server.py
+++ b/bamboospring/server.py
@@ -1,4 +1,4 @@
-"""Wire the components of a VM's main process together."""
+"""The main process of a VM."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from bamboospring.reactor import Reactor
 from bamboospring.rendezvous import bucket_of
 from bamboospring.retry_budget import RetryBudget
-from bamboospring.server_metrics import watch_main
-from bamboospring.server_metrics import watch_process
+from bamboospring.server_metrics import add_main_metrics
+from bamboospring.server_metrics import add_process_metrics
 from bamboospring.settings import Settings
 from bamboospring.share_keeper import ShareKeeper
 from bamboospring.shared_facts import SharedFacts
@@ -29,7 +29,7 @@
 from bamboospring.statement_server import StatementServer
 from bamboospring.status_view import StatusView
 from bamboospring.steward import Steward
-from bamboospring.suspicion import WatchTiming
+from bamboospring.suspicion import FailureTiming
 from bamboospring.table_editor import TableEditor
 from bamboospring.table_pages import make_reach
 from bamboospring.table_pages import TablePages
@@ -39,7 +39,7 @@
 
 
 class Server(Process):
-    """All that the main process of a VM is made of."""
+    """The components of the main process of a VM."""
 
     def __init__(self, cfg: Settings, path: str = "") -> None:
         super().__init__(cfg, path)
@@ -63,7 +63,9 @@
             reactor=to_targets,
             board=self.board,
             placement=self.placement,
-            timing=WatchTiming(silent=cfg.timing.suspect_ms / 1000),
+            timing=FailureTiming(
+                unresponsive_timeout=cfg.timing.suspect_ms / 1000
+            ),
         ).register(self)
         self.holder = Holder(
             reactor=self.reactor,
@@ -105,7 +107,7 @@
         self.entry_processes = EntryProcesses(
             board=self.board, peers=self.peers, now=self.reactor.now
         )
-        self.facts.sync.extra_recipients = self.entry_processes.addresses
+        self.facts.sync.extra_recipients = self.entry_processes.live_addresses
         self.steward = Steward(
             reactor=to_targets,
             board=self.board,
@@ -120,7 +122,7 @@
             publish=self.facts.publish,
         ).register(self)
         self.watcher.on_verdict = self.steward.report
-        self.watcher.on_hint = self.steward.hint
+        self.watcher.on_hint = self.steward.send_hint
         self.drain = self._make_drain()
         self.drain.wait_for("statements", lambda: self.holder.in_flight_count)
         self.drain.wait_for("leases", self.steward.leases.count_held)
@@ -147,11 +149,11 @@
             handle_table=self.table_pages.handle,
             hand_over=self._order_hand_over,
         )
-        watch_process(self)
-        watch_main(self)
+        add_process_metrics(self)
+        add_main_metrics(self)
 
     def _order_hand_over(self, group: str, target: str) -> None:
-        """Tell all who may lead the group; only the one who does acts."""
+        """Send the order to all lease candidates; only the steward acts."""
         for vm in self.placement.candidates(bucket_of(group)):
             if vm.name == self.board.local_vm.name:
                 self.steward.hand_over(group, target)
@@ -162,7 +164,7 @@
 def _dial_over_http(
     cfg: Settings, reactor: Reactor
 ) -> DialerFactory[HttpConnection]:
-    # After the holder itself has given the transaction up.
+    # Later than the timeout after which the holder itself ends a transaction.
     idle = cfg.timing.transaction_idle_ms / 1000 + 5
 
     def dial(
--- a/bamboospring/server_metrics.py
+++ b/bamboospring/server_metrics.py
@@ -1,4 +1,4 @@
-"""Show what the components of a process count, beside what callers got."""
+"""Metrics of a process's components, in addition to those of statements."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     from bamboospring.process import Process
     from bamboospring.server import Server
 
-__all__ = ["watch_main", "watch_process"]
+__all__ = ["add_main_metrics", "add_process_metrics"]
 
 
-def watch_process(server: Process) -> None:
-    """Add what any process of a VM counts to its metrics."""
+def add_process_metrics(server: Process) -> None:
+    """Add the metrics of every process of a VM."""
     metrics = server.metrics
     metrics.watch(
         "process.cpu.time",
@@ -57,8 +57,8 @@
     _watch_facts(server)
 
 
-def watch_main(server: Server) -> None:
-    """Add what only the main process of a VM counts."""
+def add_main_metrics(server: Server) -> None:
+    """Add the metrics of a VM's main process."""
     metrics = server.metrics
     metrics.watch(
         "bamboospring.statements.running",
@@ -67,7 +67,7 @@
     )
     metrics.watch(
         "bamboospring.processes",
-        lambda: len(server.entry_processes.addresses()),
+        lambda: len(server.entry_processes.live_addresses()),
         description="Entry-only processes beside this one.",
     )
     _watch_pools(server)
--- a/bamboospring/shared_facts.py
+++ b/bamboospring/shared_facts.py
@@ -1,7 +1,7 @@
-"""Keep the blackboard's shared facts up to date: VMs, groups and table.
+"""Keeps the blackboard's shared facts up to date: VMs, groups and table.
 
-This component wires the ways by which facts arrive and starts them. What may
-be taken is decided in `bamboospring.fact_versions`.
+This component creates and starts the sources of facts. Which facts are applied
+is decided in `bamboospring.fact_versions`.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class SharedFacts(BaseComponent):
-    """Read, spread and repair shared facts.
+    """Read, distribute and repair shared facts.
 
-    `seeds` are peers' addresses to ask while the platform has not told which
-    VMs there are, as when this VM is restarted during an outage.
+    `seeds` are addresses of peers to ask as long as the list of VMs is
+    unknown, for example if this VM is restarted during an outage.
     """
 
     channel = "*"
@@ -57,10 +57,10 @@
         self._reactor = reactor
         self._board = board
         self._seeds = tuple(seeds)
-        self._interval = timing.repair_ms / 1000
-        self._asked: set[str] = set()
-        self._answered: set[str] = set()
-        self._silent: set[str] = set()
+        self._repair_interval = timing.repair_ms / 1000
+        self._awaited_neighbours: set[str] = set()
+        self._answered_neighbours: set[str] = set()
+        self._unresponsive_neighbours: set[str] = set()
         self._table_read = False
         board.starting = True
         self.store = FactStore(
@@ -76,7 +76,7 @@
             peers=peers,
             platform=platform,
             store=self.store,
-            chance=chance,
+            random_float=chance,
         )
         self.sync = PeerSync(
             reactor=reactor,
@@ -84,8 +84,8 @@
             peers=peers,
             store=self.store,
             membership=membership,
-            interval=self._interval,
-            chance=chance,
+            interval=self._repair_interval,
+            random_float=chance,
         )
         self.watch = PlatformWatch(
             reactor=reactor,
@@ -93,30 +93,30 @@
             placement=placement,
             platform=platform,
             store=self.store,
-            on_groups=self.groups.take_objects,
+            on_groups=self.groups.apply_objects,
             vm_list_interval=timing.vm_list_ms / 1000,
             wait_ms=timing.watch_ms,
-            chance=chance,
+            random_float=chance,
         )
 
     @property
     def is_ready(self) -> bool:
-        """Say whether what is in force here can be worked with.
+        """Return whether the facts in force are recent enough to serve.
 
-        The table must have been read from the platform, or, in an outage,
-        from every neighbour that answers: the newest of several copies is
-        not older than what was in force here before a restart, while a
-        single one may come from a peer that has just been frozen.
+        The table must have been read from the platform or, in an outage, from
+        every neighbour that answers. The newest of several copies is not older
+        than the one in force here before a restart, while a single copy may
+        come from a peer that was frozen until now.
         """
         return not self._board.starting
 
     @property
     def table_from_platform(self) -> bool:
-        """Say whether the platform's own table has been read."""
+        """Return whether the table has been read from the platform."""
         return self._table_read
 
     def publish(self, record: GroupRecord) -> None:
-        """Take and spread a group record that this VM has just stored."""
+        """Apply and distribute a group record that this VM has just stored."""
         self.groups.publish(record)
 
     @handler("started")
@@ -125,7 +125,7 @@
         self.watch.start()
         self.sync.start()
         self.groups.start()
-        self._prepare()
+        self._request_facts()
 
     @handler("vms_changed")
     def _on_vms_changed(self) -> None:
@@ -142,44 +142,55 @@
     def _on_group_doubted(self, name: str) -> None:
         self.groups.read(name)
 
-    # Getting ready.
+    # Startup.
 
-    def _prepare(self) -> None:
-        """Ask again and again until there is enough to begin with."""
-        self._judge_ready()
+    def _request_facts(self) -> None:
+        """Request facts repeatedly until this process is ready."""
+        self._update_readiness()
         if self.is_ready:
             return
         if not self._board.vms:
             for address in self._seeds:
                 self.sync.compare_with(address)
         self._ask_neighbours()
-        self._reactor.call_later(self._interval / 4, self._prepare)
+        self._reactor.call_later(
+            self._repair_interval / 4, self._request_facts
+        )
 
     def _on_table_listed(self, done: bool) -> None:
         self._table_read = self._table_read or done
         if not done and self._board.starting:
             self.watch.table.on_listed.append(self._on_table_listed)
-            self._reactor.call_later(self._interval, self.watch.table.check)
-        self._judge_ready()
+            self._reactor.call_later(
+                self._repair_interval, self.watch.table.check
+            )
+        self._update_readiness()
 
     def _ask_neighbours(self) -> None:
         for vm in self.sync.neighbours():
-            if vm.name not in self._asked | self._answered:
-                self._asked.add(vm.name)
+            if (
+                vm.name
+                not in self._awaited_neighbours | self._answered_neighbours
+            ):
+                self._awaited_neighbours.add(vm.name)
                 self._ask_neighbour(vm.name, vm.address)
 
     def _ask_neighbour(self, name: str, address: str) -> None:
-        def done(answered: bool) -> None:
-            self._asked.discard(name)
-            (self._answered if answered else self._silent).add(name)
-            self._judge_ready()
-
-        self.sync.compare_with(address, name, done)
-
-    def _judge_ready(self) -> None:
+        def on_complete(answered: bool) -> None:
+            self._awaited_neighbours.discard(name)
+            (
+                self._answered_neighbours
+                if answered
+                else self._unresponsive_neighbours
+            ).add(name)
+            self._update_readiness()
+
+        self.sync.compare_with(address, name, on_complete)
+
+    def _update_readiness(self) -> None:
         if self.is_ready or not self._board.vms:
             return
-        if not (self._table_read or self._has_copies()):
+        if not (self._table_read or self._has_neighbour_copies()):
             return
         self._board.starting = False
         logs.log_event(
@@ -188,9 +199,9 @@
             vms=len(self._board.vms),
         )
 
-    def _has_copies(self) -> bool:
-        """Say whether each neighbour was asked and what is new is here."""
+    def _has_neighbour_copies(self) -> bool:
+        """Return whether all neighbours were asked and newer facts fetched."""
         names = {vm.name for vm in self.sync.neighbours()}
-        tried = self._answered | self._silent
-        answered = names & self._answered
+        tried = self._answered_neighbours | self._unresponsive_neighbours
+        answered = names & self._answered_neighbours
         return bool(answered) and names <= tried and self.sync.is_idle
--- a/bamboospring/steward.py
+++ b/bamboospring/steward.py
@@ -1,8 +1,8 @@
-"""The steward: leads the changes of primary of the buckets it has leased.
+"""The steward, which changes the primaries of groups in its leased buckets.
 
-It learns of trouble from the holders' suspicions and from its own slow round
-over the targets, and lets the controllers decide; `change_runner` carries out
-what they say.
+Its input is the holders' suspicions and its own periodic probes of the
+targets. `primary_policy` decides and `change_runner` carries the decision
+out.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from bamboospring.blackboard import GroupRecord
 from bamboospring.blackboard import Target
 from bamboospring.change_runner import ChangeRunner
-from bamboospring.change_runner import ROUND
-from bamboospring.change_runner import TICK
+from bamboospring.change_runner import PROBE_ROUND_INTERVAL
+from bamboospring.change_runner import TICK_INTERVAL
 from bamboospring.events import group_doubted
 from bamboospring.lease import LeaseTiming
 from bamboospring.lease_client import LeaseManager
@@ -47,14 +47,16 @@
 
 __all__ = ["Steward"]
 
-# Without news a group is judged this often, for what time alone changes.
-JUDGE_INTERVAL = 0.5
-PROBES_PER_SECOND = 10.0
-# An answer counts for this many rounds.
-PROBE_LIFE = 2.5
-# After so long the word of several zones counts more than our own hearing.
-INSIST_AFTER = 1.0
-ORDER_LIFE = 10.0
+# How often a group is evaluated without new input, since decisions also depend
+# on elapsed time.
+EVALUATION_INTERVAL = 0.5
+MAX_PROBES_PER_SECOND = 10.0
+# An answer is used for this many probe rounds.
+PROBE_MAX_AGE_ROUNDS = 2.5
+# After this time, reports of several zones outweigh the primary's answers to
+# the steward.
+IGNORE_PRIMARY_AFTER = 1.0
+ORDER_LIFETIME = 10.0
 
 
 class Steward(BaseComponent):
@@ -72,14 +74,14 @@
         platform: PlatformClient,
         timing: LeaseTiming,
         publish: Callable[[GroupRecord], None],
-        chance: Callable[[], float] = random.random,
+        random_float: Callable[[], float] = random.random,
     ) -> None:
         super().__init__()
         self._reactor = reactor
         self._board = board
         self._placement = placement
         self._peers = peers
-        self._care: dict[str, StewardGroupState] = {}
+        self._group_states: dict[str, StewardGroupState] = {}
         self._buckets: dict[str, int] = {}
         self.leases = LeaseManager(
             reactor=reactor, board=board, platform=platform, timing=timing
@@ -88,19 +90,19 @@
             reactor=reactor,
             board=board,
             platform=platform,
-            leads=self.leads,
+            is_leader=self.is_leader,
             publish=publish,
-            chance=chance,
+            random_float=random_float,
         )
-        self._witnesses = SuspicionExchange(
+        self._suspicion_exchange = SuspicionExchange(
             reactor=reactor,
             board=board,
             placement=placement,
             peers=peers,
-            leads=self.leads,
-            care_of=self._care_of,
-            judge=self._judge,
-            send=partial(send_order, reactor),
+            is_leader=self.is_leader,
+            state_of=self._state_of,
+            evaluate=self._evaluate,
+            send_order=partial(send_order, reactor),
         )
         peers.add_handler("handOver", self._on_hand_over)
 
@@ -108,134 +110,138 @@
     def _on_started(self, *_args: Any) -> None:
         self._tick()
 
-    def leads(self, group: str) -> bool:
-        """Tell whether this VM may act for a group at this instant."""
-        return self.leases.holds(self._bucket(group))
+    def is_leader(self, group: str) -> bool:
+        """Return whether this VM may act for a group at this instant."""
+        return self.leases.holds(self._bucket_of(group))
 
     def report(
         self, group: str, target: str, term: int, verdict: TargetVerdict
     ) -> None:
-        """Tell the candidates of the group's bucket of a judgement."""
-        self._witnesses.report(group, target, term, verdict)
+        """Send a verdict to the candidates of the group's bucket."""
+        self._suspicion_exchange.report(group, target, term, verdict)
 
     @handler("table_changed")
     def _on_table_changed(self, shard: int) -> None:
-        """Look now at the groups whose rows may have changed."""
+        """Probe the groups whose rows may have changed."""
         for name, group in self._board.groups.items():
-            if shard_of(name) == shard and self.leads(name):
-                self._ask_round(group, self._care_of(name))
+            if shard_of(name) == shard and self.is_leader(name):
+                self._probe_targets(group, self._state_of(name))
 
-    # Hand-overs: operators' orders, and holders' hints that one is due.
+    # Hand-overs: orders of operators and hints of holders.
 
-    def hint(self, group: str, term: int) -> None:
-        """Tell the candidates that a group's targets need a look."""
+    def send_hint(self, group: str, term: int) -> None:
+        """Tell the candidates to probe a group's targets."""
         message = new_envelope()
         body = message.init("handOver")
         body.group = group
         body.term = term
-        candidates = self._placement.candidates(self._bucket(group))
-        me = self._board.local_vm.name
-        others = [vm.address for vm in candidates if vm.name != me]
+        candidates = self._placement.candidates(self._bucket_of(group))
+        local_name = self._board.local_vm.name
+        others = [vm.address for vm in candidates if vm.name != local_name]
         self._peers.send_all(others, message)
         if len(others) < len(candidates):
-            self._take_hint(group, term)
+            self._apply_hint(group, term)
 
     def _on_hand_over(self, message: Any, reply: Reply) -> None:
         body = message.handOver
         if body.term:
-            self._take_hint(body.group, body.term)
+            self._apply_hint(body.group, body.term)
         else:
             self.hand_over(body.group, body.target)
 
-    def _take_hint(self, name: str, term: int) -> None:
-        """Ask the targets now instead of at the next round.
+    def _apply_hint(self, name: str, term: int) -> None:
+        """Probe the targets now instead of in the next round.
 
-        A hint is no order: one that comes late, after the change that it
-        asks for, must not cause another.
+        A hint is not an order: a hint that arrives late, after the change
+        that it refers to, must not cause another change.
         """
         group = self._board.groups.get(name)
         if group is None or group.record.term != term:
             return
-        care = self._care_of(name)
-        if self.leads(name) and care.change is None:
-            self._ask_round(group, care)
+        state = self._state_of(name)
+        if self.is_leader(name) and state.change is None:
+            self._probe_targets(group, state)
 
     def hand_over(self, group: str, target: str) -> bool:
-        """Take an order to change the primary; empty: choose a target.
+        """Accept an order to change the primary; empty `target`: choose one.
 
-        False if this VM does not lead the group; nothing is done then.
+        Return False, and do nothing, if this VM does not lead the group.
         """
-        if group not in self._board.groups or not self.leads(group):
+        if group not in self._board.groups or not self.is_leader(group):
             return False
-        care = self._care_of(group)
-        care.ordered = target or "*"
-        care.ordered_until = self._reactor.now() + ORDER_LIFE
-        care.retry_at = -1e9
-        self._ask_round(self._board.groups[group], care)
+        state = self._state_of(group)
+        state.ordered_target = target or "*"
+        state.order_expires_at = self._reactor.now() + ORDER_LIFETIME
+        state.retry_at = -1e9
+        self._probe_targets(self._board.groups[group], state)
         return True
 
-    # The regular look at everything.
+    # Periodic checks.
 
     def _tick(self) -> None:
         self.leases.step(self._rank)
         targets = 0
         for name, group in self._board.groups.items():
-            if self.leads(name):
+            if self.is_leader(name):
                 targets += len(group.record.targets)
-                self._look(name, group)
+                self._check_group(name, group)
             else:
-                self._drop_change(name)
-        self._runner.round = max(ROUND, targets / PROBES_PER_SECOND)
-        self._reactor.call_later(TICK, self._tick)
+                self._abandon_change(name)
+        self._runner.probe_round_interval = max(
+            PROBE_ROUND_INTERVAL, targets / MAX_PROBES_PER_SECOND
+        )
+        self._reactor.call_later(TICK_INTERVAL, self._tick)
 
-    def _look(self, name: str, group: Group) -> None:
+    def _check_group(self, name: str, group: Group) -> None:
         now = self._reactor.now()
-        care = self._care_of(name)
-        if now - care.round_at >= self._runner.round:
-            self._ask_round(group, care)
-        if now >= max(care.judge_at, care.retry_at):
-            self._judge(name, group, care, now)
+        state = self._state_of(name)
+        if now - state.last_round_at >= self._runner.probe_round_interval:
+            self._probe_targets(group, state)
+        if now >= max(state.next_evaluation_at, state.retry_at):
+            self._evaluate(name, group, state, now)
 
     def _rank(self, bucket: int) -> int | None:
-        """Return our place among a bucket's candidates, if we have one.
+        """Return this VM's rank among a bucket's candidates, if any.
 
-        A VM that leaves keeps its lease until its changes are over: left
-        half done they would keep the group without a primary for longer.
+        A VM that leaves keeps its lease until its changes have ended: an
+        unfinished change would leave the group without a primary for longer.
         """
         if self._board.draining and not self._is_changing(bucket):
             return None
         candidates = self._placement.candidates(bucket)
-        for place, vm in enumerate(candidates):
+        for rank, vm in enumerate(candidates):
             if vm.name == self._board.local_vm.name:
-                return place
+                return rank
         return None
 
     def _is_changing(self, bucket: int) -> bool:
         return any(
-            care.change is not None and self._bucket(name) == bucket
-            for name, care in self._care.items()
+            state.change is not None and self._bucket_of(name) == bucket
+            for name, state in self._group_states.items()
         )
 
-    def _drop_change(self, name: str) -> None:
-        care = self._care.get(name)
-        if care is not None:
-            self._runner.drop(name, care)
+    def _abandon_change(self, name: str) -> None:
+        state = self._group_states.get(name)
+        if state is not None:
+            self._runner.abandon(name, state)
 
-    def _ask_round(self, group: Group, care: StewardGroupState) -> None:
-        """Ask all targets of a group, and put stray ones right."""
-        care.round_at = self._reactor.now()
+    def _probe_targets(self, group: Group, state: StewardGroupState) -> None:
+        """Probe all targets of a group, and order outdated ones to rejoin."""
+        state.last_round_at = self._reactor.now()
         for target in group.record.targets:
-            known, _ = care.probes.get(target.name, (None, 0.0))
-            order = Order(kind=OrderKind.PROBE, target=target, known=known)
-            answered = partial(
-                self._probed, group, care, target, group.record.version
+            known, _ = state.probes.get(target.name, (None, 0.0))
+            order = Order(
+                kind=OrderKind.PROBE, target=target, known_probe=known
+            )
+            on_answer = partial(
+                self._on_probe, group, state, target, group.record.version
             )
-            send_order(self._reactor, order, answered)
+            send_order(self._reactor, order, on_answer)
 
-    def _probed(
+    def _on_probe(
         self,
         group: Group,
-        care: StewardGroupState,
+        state: StewardGroupState,
         target: Target,
         version: int,
         done: bool,
@@ -243,22 +249,23 @@
     ) -> None:
         now = self._reactor.now()
         record = group.record
-        if record.version != version or care.change is not None:
-            # Asked before the change: the answer may show the old term and
-            # would make the new primary look as if it had lost its role.
+        if record.version != version or state.change is not None:
+            # The probe was sent before the change. Its answer may show the
+            # old term, by which the new primary would seem to have lost its
+            # role.
             return
-        care.judge_at = now
+        state.next_evaluation_at = now
         if probe is None:
-            care.probes.pop(target.name, None)
+            state.probes.pop(target.name, None)
             return
-        care.probes[target.name] = (probe, now)
+        state.probes[target.name] = (probe, now)
         if probe.term > record.term:
             self.fire(group_doubted(record.name))
-        elif self.leads(record.name):
+        elif self.is_leader(record.name):
             for order in orders_to_rejoin(record, {target.name: probe}):
-                self._rejoin(record, order, probe)
+                self._send_rejoin_order(record, order, probe)
 
-    def _rejoin(
+    def _send_rejoin_order(
         self, record: GroupRecord, order: Order, probe: ProbeResult
     ) -> None:
         logs.log_event(
@@ -271,52 +278,57 @@
         )
         send_order(self._reactor, order, lambda done, probe: None)
 
-    # Deciding.
+    # Decisions.
 
-    def _judge(
-        self, name: str, group: Group, care: StewardGroupState, now: float
+    def _evaluate(
+        self, name: str, group: Group, state: StewardGroupState, now: float
     ) -> None:
-        if care.change is not None or now < care.retry_at:
+        if state.change is not None or now < state.retry_at:
             return
-        care.judge_at = now + JUDGE_INTERVAL
-        plan = choose_plan(self._view(name, group, care, now))
+        state.next_evaluation_at = now + EVALUATION_INTERVAL
+        plan = choose_plan(self._policy_input(name, group, state, now))
         if plan is not None:
-            self._runner.begin(name, group, care, plan)
+            self._runner.begin(name, group, state, plan)
 
-    def _view(
-        self, name: str, group: Group, care: StewardGroupState, now: float
+    def _policy_input(
+        self, name: str, group: Group, state: StewardGroupState, now: float
     ) -> PolicyInput:
         record = group.record
-        care.suspicions.forget_before(record.term)
+        state.suspicions.drop_earlier_terms(record.term)
         zones = [vm.availability_zone for vm in self._placement.holders(name)]
         zones.append(self._board.local_vm.availability_zone)
-        condemned = care.suspicions.condemned(
+        primary_failed = state.suspicions.has_failed(
             record.primary, record.term, now, zones
         )
-        if not condemned:
-            care.condemned_at = None
-        elif care.condemned_at is None:
-            care.condemned_at = now
-        since = now if care.condemned_at is None else care.condemned_at
+        if not primary_failed:
+            state.failed_since = None
+        elif state.failed_since is None:
+            state.failed_since = now
+        failed_since = (
+            now if state.failed_since is None else state.failed_since
+        )
         return PolicyInput(
             record=record,
             row=self._board.row(name, shard_of(name)),
             probes={
                 target: probe
-                for target, (probe, at) in care.probes.items()
-                if now - at <= PROBE_LIFE * self._runner.round
+                for target, (probe, probed_at) in state.probes.items()
+                if now - probed_at
+                <= PROBE_MAX_AGE_ROUNDS * self._runner.probe_round_interval
             },
-            condemned=condemned,
-            insist=now - since >= INSIST_AFTER,
-            ordered=care.ordered if now < care.ordered_until else "",
+            primary_failed=primary_failed,
+            ignore_primary_answer=now - failed_since >= IGNORE_PRIMARY_AFTER,
+            ordered_target=(
+                state.ordered_target if now < state.order_expires_at else ""
+            ),
         )
 
     # Helpers.
 
-    def _care_of(self, group: str) -> StewardGroupState:
-        return self._care.setdefault(group, StewardGroupState())
+    def _state_of(self, group: str) -> StewardGroupState:
+        return self._group_states.setdefault(group, StewardGroupState())
 
-    def _bucket(self, group: str) -> int:
+    def _bucket_of(self, group: str) -> int:
         found = self._buckets.get(group)
         if found is None:
             found = self._buckets[group] = bucket_of(group)
--- a/bamboospring/steward_state.py
+++ b/bamboospring/steward_state.py
@@ -1,4 +1,4 @@
-"""What a steward, or one that may become it, knows of a group."""
+"""The state that a steward or lease candidate keeps of a group."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class StewardGroupState:
-    """What a steward, or one that may become it, knows of a group."""
+    """The state that a steward or lease candidate keeps of a group."""
 
     suspicions: Suspicions = field(default_factory=Suspicions)
     probes: dict[str, tuple[ProbeResult, float]] = field(default_factory=dict)
     change: PrimaryChange | None = None
-    failures: int = 0
+    failed_changes: int = 0
     retry_at: float = -1e9
-    round_at: float = -1e9
-    judge_at: float = -1e9
-    check_at: float = -1e9
-    condemned_at: float | None = None
-    ordered: str = ""
-    ordered_until: float = -1e9
+    last_round_at: float = -1e9
+    next_evaluation_at: float = -1e9
+    last_check_at: float = -1e9
+    failed_since: float | None = None
+    ordered_target: str = ""
+    order_expires_at: float = -1e9
--- a/bamboospring/suspicion.py
+++ b/bamboospring/suspicion.py
@@ -1,9 +1,9 @@
-"""Whether a primary has failed, judged from several places.
+"""Failure detection of primaries from several availability zones.
 
-A holder suspects a target that has been silent, or whose port refuses
-connections, for long enough. One holder's word is not enough: its own link
-may be cut, or it may have been paused. The steward takes a primary for
-failed only when VMs in different availability zones suspect it at the same
+A holder suspects a target that does not respond, or whose port refuses
+connections, for long enough. The report of one holder is not sufficient: its
+own link may be cut, or it may have been paused. The steward treats a primary
+as failed only if VMs in different availability zones suspect it at the same
 time and at its present term.
 """
 
@@ -14,149 +14,155 @@
 from dataclasses import field
 
 __all__ = [
-    "AwakeClock",
+    "FailureDetector",
+    "FailureTiming",
+    "PauseDetector",
     "SuspicionReport",
     "Suspicions",
-    "TargetWatch",
     "TargetVerdict",
-    "WatchTiming",
 ]
 
 NEVER = -1e9
-REPORT_LIFE = 3.0
+REPORT_LIFETIME = 3.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class WatchTiming:
-    """Seconds. `refused` is for a port that refuses, `silent` for silence.
-
-    A refused connection is the word of the target's own machine that no
-    process listens, so it needs less time than silence, which a slow machine
-    or network also gives; it still must outlast a quick restart.
+class FailureTiming:
+    """Times in seconds after which a target is suspected.
+
+    `refused_timeout` applies to refused connections and `unresponsive_timeout`
+    to missing answers. A refused connection shows that the target's machine
+    runs and no process listens, so its timeout is shorter than the one for
+    missing answers, which a slow machine or network also causes. It must still
+    exceed the time of a quick restart.
     """
 
-    silent: float = 0.8
-    refused: float = 0.3
-    pause: float = 0.3
+    unresponsive_timeout: float = 0.8
+    refused_timeout: float = 0.3
+    pause_threshold: float = 0.3
 
 
-class AwakeClock:
-    """Tells since when this process has been running without a pause.
+class PauseDetector:
+    """Records since when this process has been running without a pause.
 
-    After a pause all timers are due at once and the answers that came
-    meanwhile are unread: everybody looks silent. Only silence that this
-    process was awake to hear counts. `tick` must be called more often than
-    `pause`.
+    After a pause all timers are due at once and the answers that arrived
+    during it are unread, so every target seems unresponsive. Only time during
+    which this process was running counts. `tick` must be called more often
+    than every `threshold` seconds.
     """
 
-    def __init__(self, *, pause: float) -> None:
-        self._pause = pause
-        self._last = NEVER
-        self.since = NEVER
+    def __init__(self, *, threshold: float) -> None:
+        self._threshold = threshold
+        self._last_tick_at = NEVER
+        self.running_since = NEVER
 
     def tick(self, now: float) -> None:
-        """Note that the process is running."""
-        if now - self._last > self._pause:
-            self.since = now
-        self._last = now
+        """Record that the process is running."""
+        if now - self._last_tick_at > self._threshold:
+            self.running_since = now
+        self._last_tick_at = now
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetVerdict:
-    """A holder's judgement of a target; `silent` is in seconds."""
+    """A holder's verdict on a target; `unresponsive_for` is in seconds."""
 
     suspected: bool
-    silent: float
+    unresponsive_for: float
 
 
-class TargetWatch:
-    """A holder's judgement of one target."""
+class FailureDetector:
+    """Decides for a holder whether one target is suspected."""
 
-    def __init__(self, *, timing: WatchTiming, now: float) -> None:
+    def __init__(self, *, timing: FailureTiming, now: float) -> None:
         self._timing = timing
-        self._heard_at = now
-        self._refused_at: float | None = None
-
-    def heard(self, now: float) -> None:
-        """Note an answer."""
-        self._heard_at = now
-        self._refused_at = None
-
-    def refused(self, now: float) -> None:
-        """Note that a connection was refused."""
-        if self._refused_at is None:
-            self._refused_at = now
-
-    def lost(self) -> None:
-        """Note a failure that tells nothing but that no answer came."""
-        self._refused_at = None
-
-    def verdict(self, now: float, awake_since: float) -> TargetVerdict:
-        """Judge the target."""
-        silent = now - max(self._heard_at, awake_since)
-        suspected = silent >= self._timing.silent
-        if self._refused_at is not None:
-            refused = now - max(self._refused_at, awake_since)
-            suspected = suspected or refused >= self._timing.refused
-        return TargetVerdict(suspected=suspected, silent=max(silent, 0.0))
+        self._last_response_at = now
+        self._refused_since: float | None = None
+
+    def record_answer(self, now: float) -> None:
+        """Record an answer."""
+        self._last_response_at = now
+        self._refused_since = None
+
+    def record_refusal(self, now: float) -> None:
+        """Record a refused connection."""
+        if self._refused_since is None:
+            self._refused_since = now
+
+    def record_failure(self) -> None:
+        """Record a failure other than a refused connection."""
+        self._refused_since = None
+
+    def verdict(self, now: float, running_since: float) -> TargetVerdict:
+        """Return the verdict on the target."""
+        unresponsive_for = now - max(self._last_response_at, running_since)
+        suspected = unresponsive_for >= self._timing.unresponsive_timeout
+        if self._refused_since is not None:
+            refused_for = now - max(self._refused_since, running_since)
+            suspected = (
+                suspected or refused_for >= self._timing.refused_timeout
+            )
+        return TargetVerdict(
+            suspected=suspected, unresponsive_for=max(unresponsive_for, 0.0)
+        )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SuspicionReport:
-    """One VM's judgement of a target, with its place and when it came."""
+    """One VM's verdict on a target, with its zone and time of receipt."""
 
     target: str
     term: int
     vm: str
     availability_zone: str
     suspected: bool
-    silent: float
-    at: float
+    unresponsive_for: float
+    received_at: float
 
 
 @dataclass(slots=True, kw_only=True)
 class Suspicions:
-    """What was reported of the targets of one group, newest per VM."""
+    """The suspicions of one group's targets, the newest of each VM."""
 
     reports: dict[tuple[str, str], SuspicionReport] = field(
         default_factory=dict
     )
 
-    def take(self, report: SuspicionReport) -> None:
-        """Keep a report in place of the same VM's earlier one."""
+    def add_report(self, report: SuspicionReport) -> None:
+        """Store a report; one without suspicion removes the earlier one."""
         key = report.target, report.vm
         if report.suspected:
             self.reports[key] = report
         else:
             self.reports.pop(key, None)
 
-    def witnesses(
+    def valid_reports(
         self, target: str, term: int, now: float
     ) -> list[SuspicionReport]:
-        """Return the reports that count against a target now."""
+        """Return the valid reports of a target's failure at a term."""
         return [
             report
             for report in self.reports.values()
             if report.target == target
             and report.term == term
-            and now - report.at <= REPORT_LIFE
+            and now - report.received_at <= REPORT_LIFETIME
         ]
 
-    def condemned(
+    def has_failed(
         self, target: str, term: int, now: float, zones: Iterable[str]
     ) -> bool:
-        """Tell whether a target is to be taken for failed.
+        """Return whether a target is to be treated as failed.
 
-        `zones` are those of the VMs that watch the target. Witnesses must
-        come from two of them, as far as there are two.
+        `zones` are those of the VMs that watch the target. Reports from two
+        zones are required, or from one if there is only one zone.
         """
-        witnesses = self.witnesses(target, term, now)
-        needed = min(2, len(set(zones)))
-        places = {report.availability_zone for report in witnesses}
-        return bool(witnesses) and len(places) >= needed
+        reports = self.valid_reports(target, term, now)
+        min_zones = min(2, len(set(zones)))
+        reporting_zones = {report.availability_zone for report in reports}
+        return bool(reports) and len(reporting_zones) >= min_zones
 
-    def forget_before(self, term: int) -> None:
-        """Drop reports on earlier terms."""
+    def drop_earlier_terms(self, term: int) -> None:
+        """Drop reports of earlier terms."""
         for key, report in list(self.reports.items()):
             if report.term < term:
                 del self.reports[key]
--- a/bamboospring/target_watcher.py
+++ b/bamboospring/target_watcher.py
@@ -1,9 +1,9 @@
-"""A holder's watch over the targets of its groups.
+"""Watches the targets of the groups that this VM holds.
 
-One long poll for each target tells of its term, role and positions as they
-change. Writes wait here until a majority holds them. A primary that is silent
-or refuses connections is reported as suspected, on change and slowly again
-while it lasts.
+One long poll per target returns its term, role and positions when they
+change. Writes wait here until a majority holds them. A primary that is
+unresponsive or refuses connections is reported as suspected: when the verdict
+changes, and periodically while it lasts.
 """
 
 from __future__ import annotations
@@ -31,65 +31,68 @@
 from bamboospring.reactor import Timer
 from bamboospring.rendezvous import Placement
 from bamboospring.statements import Position
-from bamboospring.suspicion import AwakeClock
+from bamboospring.suspicion import FailureDetector
+from bamboospring.suspicion import FailureTiming
+from bamboospring.suspicion import PauseDetector
 from bamboospring.suspicion import TargetVerdict
-from bamboospring.suspicion import TargetWatch
-from bamboospring.suspicion import WatchTiming
 from bamboospring.target_api import decode_probe
 from bamboospring.target_api import ProbeResult
 
 __all__ = ["TargetWatcher"]
 
-# Seconds. A primary must say something well within the time after which its
-# silence counts; of a replica nothing depends on hearing it without a change.
-PRIMARY_POLL = 0.4
-REPLICA_POLL = 1.0
-# An answer that is this late means a dead connection first of all: another is
-# opened, and has been heard before the silence counts against the target.
-POLL_MARGIN = 0.3
+# Seconds that a target may hold a poll without a change. A primary must answer
+# well within the time after which it counts as unresponsive; nothing depends
+# on a replica's answer without a change.
+PRIMARY_POLL_TIMEOUT = 0.4
+REPLICA_POLL_TIMEOUT = 1.0
+# An answer that is later than this suggests a dead connection. Another one is
+# opened, and can answer before the target counts as unresponsive.
+POLL_TIMEOUT_MARGIN = 0.3
 RETRY_DELAY = 0.1
-JUDGE_INTERVAL = 0.1
-REPEAT_REPORT = 1.0
-# A failure that comes this fast is the other machine's word, not silence.
-PROMPT = 0.2
-# How many sightings of the primary's position are kept to tell how old a
-# replica's data is, and how far apart in seconds: they cover 6.4 s or more.
-SIGHTINGS = 128
-SIGHTING_INTERVAL = 0.05
-# How often a group that others hold now is looked at, while work is left.
-LINGER_CHECK = 0.5
-
-
-# Gets group, target, term and the judgement of that primary.
+EVALUATION_INTERVAL = 0.1
+REPORT_INTERVAL = 1.0
+# A failure within this time is a refusal by the target's machine, not a
+# missing answer.
+MAX_REFUSAL_DELAY = 0.2
+# Number of samples of the primary's position that are kept to determine the
+# age of a replica's data, and their minimum interval in seconds: together they
+# cover at least 6.4 s.
+MAX_SAMPLES = 128
+SAMPLE_INTERVAL = 0.05
+# How often a group that this VM no longer holds is checked for work.
+LINGER_CHECK_INTERVAL = 0.5
+
+
+# Receives group, target, term and the verdict on that primary.
 OnVerdict = Callable[[str, str, int, TargetVerdict], None]
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class _Waiting:
+class _PendingWrite:
     position: Position
-    on_held: Callable[[bool], None]
+    on_complete: Callable[[bool], None]
     timer: Timer
 
 
 @dataclass(slots=True, kw_only=True)
-class _Watched:
-    """A group under watch."""
+class _WatchedGroup:
+    """The state of one watched group."""
 
     group: Group
     pollers: dict[str, _Poller] = field(default_factory=dict)
-    waiting: list[_Waiting] = field(default_factory=list)
-    sightings: deque[tuple[float, int]] = field(
-        default_factory=lambda: deque(maxlen=SIGHTINGS)
+    pending_writes: list[_PendingWrite] = field(default_factory=list)
+    samples: deque[tuple[float, int]] = field(
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
     )
     primary: str = ""
     suspected: bool = False
-    report_at: float = -1e9
-    hint_at: float = -1e9
-    lingers: bool = False
+    next_report_at: float = -1e9
+    next_hint_at: float = -1e9
+    is_lingering: bool = False
 
 
 class TargetWatcher(BaseComponent):
-    """Keep the blackboard's TargetStates of held groups up to date."""
+    """Keep the blackboard's target states of held groups up to date."""
 
     channel = "*"
 
@@ -99,19 +102,19 @@
         reactor: Reactor,
         board: Blackboard,
         placement: Placement,
-        timing: WatchTiming = WatchTiming(),
+        timing: FailureTiming = FailureTiming(),
     ) -> None:
         super().__init__()
         self._reactor = reactor
         self._board = board
         self._placement = placement
         self._timing = timing
-        self._watched: dict[str, _Watched] = {}
-        self._awake = AwakeClock(pause=timing.pause)
+        self._watched: dict[str, _WatchedGroup] = {}
+        self._pause_detector = PauseDetector(threshold=timing.pause_threshold)
         self.on_verdict: OnVerdict | None = None
-        # Gets the group and term in which a steward has something to do.
+        # Receives a group and term for which a steward must act.
         self.on_hint: Callable[[str, int], None] | None = None
-        # Says whether this process still has work of a group.
+        # Returns whether this process still has work of a group.
         self.has_pending_work: Callable[[str], bool] = lambda name: False
 
     def wait_for_majority(
@@ -121,7 +124,10 @@
         deadline: float,
         on_complete: Callable[[bool], None],
     ) -> None:
-        """Call back with True once a majority holds the position."""
+        """Call back with True once a majority holds the position.
+
+        The result is False if the deadline passes or the term is over.
+        """
         watched = self._watched.get(group)
         if watched is None:
             on_complete(False)
@@ -129,20 +135,20 @@
         if held_by_majority(watched.group, position):
             on_complete(True)
             return
-        waiting = _Waiting(
+        write = _PendingWrite(
             position=position,
-            on_held=on_complete,
+            on_complete=on_complete,
             timer=self._reactor.call_later(
                 max(0.0, deadline - self._reactor.now()),
-                lambda: self._give_up(watched, waiting),
+                lambda: self._expire_write(watched, write),
             ),
         )
-        watched.waiting.append(waiting)
+        watched.pending_writes.append(write)
 
-    def saw(
+    def record_probe(
         self, group: str, target: str, probe: ProbeResult, asked_at: float
     ) -> None:
-        """Take in what a target said of itself."""
+        """Record a target's report of its state."""
         watched = self._watched.get(group)
         if watched is None:
             return
@@ -159,102 +165,108 @@
         state.last_response_at = self._reactor.now()
         record = watched.group.record
         if _needs_steward(record, target, probe):
-            self._hint(group, watched)
-        self._judge_freshness(watched, target, asked_at)
-        self._release(watched)
+            self._send_hint(group, watched)
+        self._update_caught_up(watched, target, asked_at)
+        self._complete_writes(watched)
 
     @handler("started")
     def _on_started(self, *_args: Any) -> None:
-        self._judge()
+        self._evaluate()
 
-    def _judge(self) -> None:
-        """Judge the primaries of all watched groups."""
+    def _evaluate(self) -> None:
+        """Evaluate the primaries of all watched groups."""
         now = self._reactor.now()
-        self._awake.tick(now)
+        self._pause_detector.tick(now)
         for name, watched in self._watched.items():
-            self._judge_primary(name, watched, now)
-        self._reactor.call_later(JUDGE_INTERVAL, self._judge)
+            self._evaluate_primary(name, watched, now)
+        self._reactor.call_later(EVALUATION_INTERVAL, self._evaluate)
 
-    def _judge_primary(self, name: str, watched: _Watched, now: float) -> None:
+    def _evaluate_primary(
+        self, name: str, watched: _WatchedGroup, now: float
+    ) -> None:
         record = watched.group.record
         poller = watched.pollers.get(record.primary)
         if poller is None or self.on_verdict is None:
             return
-        verdict = poller.watch.verdict(now, self._awake.since)
+        verdict = poller.failure_detector.verdict(
+            now, self._pause_detector.running_since
+        )
         changed = verdict.suspected != watched.suspected
-        due = verdict.suspected and now >= watched.report_at
+        due = verdict.suspected and now >= watched.next_report_at
         if changed or due:
             watched.suspected = verdict.suspected
-            watched.report_at = now + REPEAT_REPORT
+            watched.next_report_at = now + REPORT_INTERVAL
             self.on_verdict(name, record.primary, record.term, verdict)
 
-    def _hint(self, name: str, watched: _Watched) -> None:
-        """Tell at once, and slowly again, that a steward should look.
+    def _send_hint(self, name: str, watched: _WatchedGroup) -> None:
+        """Tell the stewards at once, and again periodically, to probe a group.
 
-        A steward's own round is slow, and a primary that leaves refuses new
-        work already: each moment until the hand-over is one without writes.
+        A steward's probe rounds are infrequent, and a primary that leaves
+        already refuses new work, so there are no writes until the hand-over.
         """
         now = self._reactor.now()
-        if self.on_hint is not None and now >= watched.hint_at:
-            watched.hint_at = now + REPEAT_REPORT
+        if self.on_hint is not None and now >= watched.next_hint_at:
+            watched.next_hint_at = now + REPORT_INTERVAL
             self.on_hint(name, watched.group.record.term)
 
     @handler("group_changed")
     def _on_group_changed(self, name: str) -> None:
-        self._follow(name)
+        self._update_group(name)
 
     @handler("vms_changed", "placement_changed")
     def _on_vms_changed(self) -> None:
         for name in list(self._board.groups):
-            self._follow(name)
+            self._update_group(name)
 
-    def _follow(self, name: str) -> None:
+    def _update_group(self, name: str) -> None:
         holders = self._placement.holders(name)
-        mine = any(vm.name == self._board.local_vm.name for vm in holders)
+        is_holder = any(vm.name == self._board.local_vm.name for vm in holders)
         group = self._board.groups.get(name)
-        if group is None or not (mine or self._lingers(name)):
+        if group is None or not (is_holder or self._should_linger(name)):
             watched = self._watched.pop(name, None)
             if watched is not None:
                 for poller in watched.pollers.values():
                     poller.stop()
             return
-        watched = self._watched.setdefault(name, _Watched(group=group))
+        watched = self._watched.setdefault(name, _WatchedGroup(group=group))
         watched.group = group
         self._stop_removed(watched)
-        self._note_primary(watched)
+        self._update_primary(watched)
         for target in group.record.targets:
             if target.name not in watched.pollers:
                 poller = _Poller(watcher=self, group=name, target=target)
                 watched.pollers[target.name] = poller
                 poller.start()
-        self._release(watched)
+        self._complete_writes(watched)
 
-    def _lingers(self, name: str) -> bool:
-        """Tell whether a group is still watched though others hold it now.
+    def _should_linger(self, name: str) -> bool:
+        """Return whether a group is still watched that other VMs hold now.
 
-        A write under way or an open transaction ends here. Without this no
-        majority would ever be seen to hold it: its caller would be told
-        unknown of a commit that is done.
+        Writes in flight and open transactions end on this VM. Without this,
+        no majority would be observed to hold them, and the caller of a
+        completed commit would get the outcome unknown.
         """
         watched = self._watched.get(name)
         if watched is None:
             return False
-        if not (watched.waiting or self.has_pending_work(name)):
+        if not (watched.pending_writes or self.has_pending_work(name)):
             return False
-        if not watched.lingers:
-            watched.lingers = True
-            self._reactor.call_later(LINGER_CHECK, lambda: self._look(watched))
+        if not watched.is_lingering:
+            watched.is_lingering = True
+            self._reactor.call_later(
+                LINGER_CHECK_INTERVAL, lambda: self._recheck_group(watched)
+            )
         return True
 
-    def _look(self, watched: _Watched) -> None:
-        watched.lingers = False
-        self._follow(watched.group.record.name)
+    def _recheck_group(self, watched: _WatchedGroup) -> None:
+        watched.is_lingering = False
+        self._update_group(watched.group.record.name)
 
-    def _note_primary(self, watched: _Watched) -> None:
-        """Give a new primary the time to be heard as such.
+    def _update_primary(self, watched: _WatchedGroup) -> None:
+        """Give a new primary additional time for its first answer.
 
-        As a replica it was asked less often, so it may have been silent for
-        longer than a primary may be.
+        As a replica it was polled less often, so its last answer may be older
+        than is allowed for a primary.
         """
         primary = watched.group.record.primary
         if primary == watched.primary:
@@ -263,63 +275,65 @@
         watched.suspected = False
         poller = watched.pollers.get(primary)
         if poller is not None:
-            grace = REPLICA_POLL - PRIMARY_POLL
-            poller.watch.heard(self._reactor.now() + grace)
+            grace = REPLICA_POLL_TIMEOUT - PRIMARY_POLL_TIMEOUT
+            poller.failure_detector.record_answer(self._reactor.now() + grace)
 
-    def _stop_removed(self, watched: _Watched) -> None:
+    def _stop_removed(self, watched: _WatchedGroup) -> None:
         targets = watched.group.record.targets
         for name, poller in list(watched.pollers.items()):
             if poller.target not in targets:
                 poller.stop()
                 del watched.pollers[name]
 
-    def _judge_freshness(
-        self, watched: _Watched, target: str, asked_at: float
+    def _update_caught_up(
+        self, watched: _WatchedGroup, target: str, asked_at: float
     ) -> None:
         group = watched.group
         if target == group.record.primary:
-            self._note_sighting(watched, asked_at)
+            self._record_sample(watched, asked_at)
         for state in group.states.values():
-            for seen_at, received in reversed(watched.sightings):
+            for sampled_at, received in reversed(watched.samples):
                 if state.applied >= received:
-                    state.caught_up_at = max(state.caught_up_at, seen_at)
+                    state.caught_up_at = max(state.caught_up_at, sampled_at)
                     break
 
-    def _note_sighting(self, watched: _Watched, asked_at: float) -> None:
-        # A primary that writes all the time is seen hundreds of times a
-        # second. Kept all, the sightings would cover so short a time that a
-        # replica further behind would count as of unknown age.
-        sightings = watched.sightings
-        if sightings and asked_at - sightings[-1][0] < SIGHTING_INTERVAL:
+    def _record_sample(self, watched: _WatchedGroup, asked_at: float) -> None:
+        # A primary under constant writes answers hundreds of times a second.
+        # If all samples were kept, they would cover so short a time that the
+        # age of a replica further behind would be unknown.
+        samples = watched.samples
+        if samples and asked_at - samples[-1][0] < SAMPLE_INTERVAL:
             return
         state = watched.group.state(watched.group.record.primary)
-        sightings.append((asked_at, state.received))
+        samples.append((asked_at, state.received))
 
-    def _release(self, watched: _Watched) -> None:
-        if not watched.waiting:
+    def _complete_writes(self, watched: _WatchedGroup) -> None:
+        if not watched.pending_writes:
             return
-        waiting, watched.waiting = watched.waiting, []
-        for item in waiting:
-            held = held_by_majority(watched.group, item.position)
-            # Targets that have left for a later term are not counted at the
-            # old one any more, so waiting on would only hold back the answer.
-            lost = watched.group.record.term > item.position.term
-            if held or lost:
-                item.timer.cancel()
-                item.on_held(held)
+        pending, watched.pending_writes = watched.pending_writes, []
+        for write in pending:
+            is_held = held_by_majority(watched.group, write.position)
+            # Targets at a later term do not count for the old one any more, so
+            # further waiting would only delay the answer.
+            is_term_over = watched.group.record.term > write.position.term
+            if is_held or is_term_over:
+                write.timer.cancel()
+                write.on_complete(is_held)
             else:
-                watched.waiting.append(item)
+                watched.pending_writes.append(write)
 
-    def _give_up(self, watched: _Watched, waiting: _Waiting) -> None:
-        if waiting in watched.waiting:
-            watched.waiting.remove(waiting)
-            waiting.on_held(False)
+    def _expire_write(
+        self, watched: _WatchedGroup, write: _PendingWrite
+    ) -> None:
+        if write in watched.pending_writes:
+            watched.pending_writes.remove(write)
+            write.on_complete(False)
 
 
 def _needs_steward(
     record: GroupRecord, target: str, probe: ProbeResult
 ) -> bool:
-    """Tell whether a target leaves as primary, or does not follow one."""
+    """Return whether a primary leaves or another target must rejoin."""
     if not record.primary:
         return False
     if target == record.primary:
@@ -337,24 +351,24 @@
         self._reactor = watcher._reactor
         self._group = group
         self.target = target
-        self.watch = TargetWatch(
+        self.failure_detector = FailureDetector(
             timing=watcher._timing, now=watcher._reactor.now()
         )
         self._client = HttpClient(
             reactor=self._reactor, address=target.address
         )
         self._asked_at = 0.0
-        # What the target said last on this connection, if it named a state.
-        self._known: ProbeResult | None = None
+        # The target's last report on this connection, if it had a state tag.
+        self._known_probe: ProbeResult | None = None
         self._stopped = False
 
     def start(self) -> None:
-        """Ask once, then again after each answer."""
-        self._known = None
+        """Probe the target, then poll again after each answer."""
+        self._known_probe = None
         self._ask("/probe")
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling."""
         self._stopped = True
         self._client.close()
 
@@ -362,53 +376,58 @@
         if self._stopped:
             return
         self._asked_at = self._reactor.now()
-        timeout = self._wait() + POLL_MARGIN
-        self._client.request("GET", path, b"", timeout, self._answered)
+        timeout = self._poll_wait() + POLL_TIMEOUT_MARGIN
+        self._client.request("GET", path, b"", timeout, self._on_answer)
 
-    def _wait(self) -> float:
+    def _poll_wait(self) -> float:
         group = self._watcher._board.groups.get(self._group)
         primary = group.record.primary if group is not None else ""
         is_primary = self.target.name == primary
-        return PRIMARY_POLL if is_primary else REPLICA_POLL
+        return PRIMARY_POLL_TIMEOUT if is_primary else REPLICA_POLL_TIMEOUT
 
-    def _answered(self, answer: HttpAnswer | HttpLost) -> None:
+    def _on_answer(self, answer: HttpAnswer | HttpLost) -> None:
         if self._stopped:
             return
-        probe = self._read(answer)
+        probe = self._decode_answer(answer)
         now = self._reactor.now()
         if probe is None:
-            self._note_failure(now)
+            self._record_failure(now)
             self._reactor.call_later(RETRY_DELAY, self.start)
             return
-        self.watch.heard(now)
-        self._watcher.saw(self._group, self.target.name, probe, self._asked_at)
-        self._known = probe if probe.state_tag else None
-        wait_ms = int(self._wait() * 1000)
-        self._ask(f"/positions?{_seen(probe)}&wait_ms={wait_ms}")
-
-    def _read(self, answer: HttpAnswer | HttpLost) -> ProbeResult | None:
-        """Return what the target says; nothing new is what it said last.
-
-        The target compares all of its account, so that an answer without a
-        body is as good a sighting as one with it. To one that was not told
-        what we know such an answer says nothing, and counts as a failure.
+        self.failure_detector.record_answer(now)
+        self._watcher.record_probe(
+            self._group, self.target.name, probe, self._asked_at
+        )
+        self._known_probe = probe if probe.state_tag else None
+        wait_ms = int(self._poll_wait() * 1000)
+        self._ask(f"/positions?{_known_query(probe)}&wait_ms={wait_ms}")
+
+    def _decode_answer(
+        self, answer: HttpAnswer | HttpLost
+    ) -> ProbeResult | None:
+        """Decode a report; an answer without a body repeats the last one.
+
+        The target compares its whole report with the named state, so an
+        answer without a body is as reliable as one with a body. If the
+        request named no state, such an answer has no meaning and counts as a
+        failure.
         """
         match answer:
             case HttpAnswer(status=HTTPStatus.OK):
                 return decode_probe(answer.body)
             case HttpAnswer(status=HTTPStatus.NO_CONTENT):
-                return self._known
+                return self._known_probe
         return None
 
-    def _note_failure(self, now: float) -> None:
-        if now - self._asked_at < PROMPT:
-            self.watch.refused(now)
+    def _record_failure(self, now: float) -> None:
+        if now - self._asked_at < MAX_REFUSAL_DELAY:
+            self.failure_detector.record_refusal(now)
         else:
-            self.watch.lost()
+            self.failure_detector.record_failure()
 
 
-def _seen(probe: ProbeResult) -> str:
-    """Return what to name to a target as known: its state's name, if any."""
+def _known_query(probe: ProbeResult) -> str:
+    """Return the query that names the known state, by its tag if any."""
     if probe.state_tag:
         return f"seen={probe.state_tag}"
     return (
--- a/bamboospring/wire.capnp
+++ b/bamboospring/wire.capnp
@@ -1,7 +1,7 @@
 @0xb3c1f0a7d5e94826;
-# Messages between the system's own processes. Frames on the TCP stream are a
-# four-byte little-endian length followed by one Envelope. New messages take a
-# new union member; numbers are never used twice.
+# Messages between the system's processes. A frame on the TCP stream is a
+# four-byte little-endian length followed by one Envelope. New messages get a
+# new union member; numbers are never reused.
 
 struct Envelope {
   id @0 :UInt64;              # correlation id; an answer repeats it
@@ -36,83 +36,83 @@
   }
 }
 
-struct FactsAsk {             # a VM that serves sessions asks the leader, or
-                              # the relay of its zone
+struct FactsAsk {             # request of a VM that serves sessions to the
+                              # leader or to the relay of its zone
   vm @0 :Text;
-  records @1 :UInt64;         # digests of what the asker has
+  records @1 :UInt64;         # digests of the facts that the sender has
   targets @2 :UInt64;
-  address @3 :Text;           # where the asker listens for peers
+  address @3 :Text;           # where the sender listens for peers
   availabilityZone @4 :Text;
   zoneVms @5 :UInt64;         # digest, as above
-  wantsCatalog @6 :Bool;      # the asker can't read the newest one
+  wantsCatalog @6 :Bool;      # the sender can't read the newest catalog
 }
 
 struct Facts {
   informed @0 :Bool;          # false: the sender neither leads nor has facts
-                              # to pass on; the rest is empty
-  proofAgeUs @1 :UInt64;      # since the question to the store was sent
-  records @2 :Data;           # JSON; empty: as the asker has them
-  leaseVersion @3 :UInt64;    # the store's, moves with each renewal
-  targets @4 :Data;           # JSON; empty: as the asker has them
+                              # to relay; all other fields are empty
+  proofAgeUs @1 :UInt64;      # time since the request to the store was sent
+  records @2 :Data;           # JSON; empty if the asker has the same
+  leaseVersion @3 :UInt64;    # version in the store; changes with each renewal
+  targets @4 :Data;           # JSON; empty if the asker has the same
   targetsAgeMs @5 :UInt32;
-  catalog @6 :UInt64;         # the configuration's own version
+  catalog @6 :UInt64;         # version of the configuration
   catalogAgeMs @7 :UInt32;
-  leaseMs @8 :UInt32;         # its duration
-  samples @9 :Data;           # JSON: for each group ages and positions
-  vms @10 :UInt32;            # how many VMs there are
-  relay @11 :Text;            # whom to ask from now on; empty: the leader
+  leaseMs @8 :UInt32;         # duration of the lease
+  samples @9 :Data;           # JSON: ages and positions of each group
+  vms @10 :UInt32;            # number of VMs
+  relay @11 :Text;            # VM to ask in future; empty: the leader
   servesZone @12 :Bool;       # the asker is the relay of its zone
-  leader @13 :Text;           # who leads, if it is not the sender
+  leader @13 :Text;           # the leader, if it is not the sender
   leaderAddress @14 :Text;
-  zoneVms @15 :Data;          # JSON: the zone's VMs; empty: as the asker has it
-  zoneVmsKnown @16 :Bool;     # the sender knows the zone's VMs
+  zoneVms @15 :Data;          # JSON: VMs of the zone; empty if the asker has the same
+  zoneVmsKnown @16 :Bool;     # the sender knows the VMs of the zone
   catalogConfirmedMs @17 :UInt32;  # age of the instant at which the store
-                              # surely had no newer configuration
-  catalogData @18 :Data;      # JSON; empty unless the asker wants it
+                              # certainly had no newer configuration
+  catalogData @18 :Data;      # JSON; empty unless wantsCatalog was set
 }
 
-struct QuotaAsk {             # may operations of a team run? to who counts them
+struct QuotaAsk {             # asks the VM that counts a team to admit operations
   team @0 :Text;
   wanted @1 :UInt32;
 }
 
 struct QuotaAnswer {
-  counts @0 :Bool;            # false: the sender does not count for the team
-  count @1 :UInt32;           # so many may run
-  retryMs @2 :UInt32;         # when there is room for the others
+  counts @0 :Bool;            # false: the sender does not count the team
+  count @1 :UInt32;           # number of operations that may run
+  retryMs @2 :UInt32;         # time until the others may run
 }
 
-struct QuotaReturn {          # so many that were let in have not run
+struct QuotaReturn {          # admitted operations that have not run
   team @0 :Text;
   count @1 :UInt32;
 }
 
-struct HeldAsk {              # a read for the holder of its target to run
+struct HeldAsk {              # a read to be run by the holder of its target
   vm @0 :Text;
-  number @1 :UInt64;          # the asker's own, to cancel it by
-  head @2 :Data;              # JSON; its members: see held_messages.py
+  number @1 :UInt64;          # assigned by the sender, to cancel the read
+  head @2 :Data;              # JSON; for its members see held_messages.py
 }
 
 struct HeldAnswer {
-  head @0 :Data;              # JSON; its members: see held_messages.py
+  head @0 :Data;              # JSON; for its members see held_messages.py
 }
 
-struct HeldCancel {           # nobody waits for the answer any more
+struct HeldCancel {           # the answer is no longer needed
   vm @0 :Text;
   number @1 :UInt64;
 }
 
-struct Leading {              # the sender has taken the lease
+struct Leading {              # the sender has acquired the lease
   vm @0 :Text;
   address @1 :Text;
-  version @2 :UInt64;         # the store's, of the lease's object
+  version @2 :UInt64;         # version of the lease object in the store
 }
 
 struct RecordNews {
-  record @0 :Data;            # JSON of a group's record with its version
+  record @0 :Data;            # JSON of a group's record and its version
 }
 
-struct RecordSeen {           # the sender uses no proof of an older version
+struct RecordSeen {           # the sender no longer uses proofs of older versions
   vm @0 :Text;
   version @1 :UInt64;
 }
@@ -123,22 +123,22 @@
 }
 
 struct Statement {
-  head @0 :Data;              # JSON array; its members: see wire.py
-  params @1 :Data;            # JSON array, passed on unread
+  head @0 :Data;              # JSON array; for its members see wire.py
+  params @1 :Data;            # JSON array, forwarded without decoding
 }
 
 struct Answer {
-  head @0 :Data;              # JSON array; its members: see wire.py
-  columns @1 :Data;           # JSON array, passed on unread
-  rows @2 :Data;              # JSON array of arrays, passed on unread
+  head @0 :Data;              # JSON array; for its members see wire.py
+  columns @1 :Data;           # JSON array, forwarded without decoding
+  rows @2 :Data;              # JSON array of arrays, forwarded without decoding
 }
 
 struct Heartbeat {
   vm @0 :Text;
   vmsRevision @1 :UInt64;
-  shards @2 :List(UInt64);    # version in force, by shard; empty: not told
+  shards @2 :List(UInt64);    # versions in force, by shard; empty if omitted
   draining @3 :Bool;
-  digest @4 :UInt64;          # of all versions; 0: not told
+  digest @4 :UInt64;          # of all versions; 0 if omitted
 }
 
 struct Suspicion {
@@ -151,15 +151,15 @@
   silentMs @6 :UInt32;
 }
 
-struct Witness {              # a steward asks for another place's judgement
-  group @0 :Text;             # of a suspected primary; answered by suspicion
+struct Witness {              # a steward asks a VM of another zone to probe a
+  group @0 :Text;             # suspected primary; answered by suspicion
   target @1 :Text;
   address @2 :Text;
   term @3 :UInt64;
 }
 
 struct GroupFact {
-  record @0 :Data;            # JSON: a question, its answer, or news; group_sync
+  record @0 :Data;            # JSON: request, answer or newer records; see group_sync.py
   version @1 :UInt64;         # unused
 }
 
@@ -171,7 +171,7 @@
 
 struct TableWant {
   shard @0 :UInt16;
-  version @1 :UInt64;         # the version that the asker has
+  version @1 :UInt64;         # version that the sender has
 }
 
 struct Share {
@@ -180,9 +180,9 @@
   vmsRevision @2 :UInt64;
   targets @3 :List(TargetShare);
   holders @4 :UInt64;         # hash of the ordered names of the holders
-  agrees @5 :Bool;            # in a release: the promise, see shares.py
+  agrees @5 :Bool;            # in a release: a promise, see shares.py
   informed @6 :Bool;
-  growing @7 :Bool;           # in a release: its sender waits for promises
+  growing @7 :Bool;           # in a release: the sender waits for promises
 }
 
 struct TargetShare {
@@ -192,7 +192,7 @@
 }
 
 struct Status {
-  body @0 :Data;              # JSON; empty in a question
+  body @0 :Data;              # JSON; empty in a request
 }
 
 struct VmList {
@@ -203,13 +203,13 @@
 struct HandOver {
   group @0 :Text;
   target @1 :Text;            # empty: the steward chooses
-  term @2 :UInt64;            # 0: an order; else only a holder's hint that
-                              # the primary of this term says it leaves
+  term @2 :UInt64;            # 0: an order; otherwise a holder's hint that
+                              # the primary of this term reports leaving
 }
 
-struct Process {              # an entry-only process and its VM's main process
+struct Process {              # between an entry-only process and its main process
   vm @0 :Text;                # name of the sender
-  address @1 :Text;           # where to tell it of news; empty in an answer
-  ready @2 :Bool;             # in an answer: the main process has its facts
+  address @1 :Text;           # for announcements to it; empty in an answer
+  ready @2 :Bool;             # in an answer: the main process has all facts
   draining @3 :Bool;
 }
--- a/features/regions.feature
+++ b/features/regions.feature
@@ -1,17 +1,16 @@
 Feature: Regions lose each other for a while
-  Two regions of three VMs each behind the fault proxy, which tells the
-  regions apart by where a connection comes from. The platform stands in the
-  near region, and so do two of the group's three targets.
+  Two regions of three VMs each behind the fault proxy, which distinguishes the
+  regions by the source address of a connection. The platform and two of the
+  group's three targets are in the near region.
 
   Scenario Outline: <lost> between the regions is lost, the primary is <place>
-    # Callers in the near region go on writing, after a change of primary if
-    # the far region has it: a majority of the targets is near. Callers in the
-    # far region are refused at once and truly, since nothing that is sent
-    # there could reach a majority; reads of a stated age go on. What was held
-    # back on the way arrives late, after the links have healed: orders and
-    # acknowledgements of an older term among it. An old primary that has heard
-    # of its successor, and can't reach it, may hold entries that nobody else
-    # has: it is not read.
+    # Callers in the near region continue to write, after a change of primary
+    # if it is in the far region: a majority of the targets is near. Callers in
+    # the far region are refused at once as not run, since no write there could
+    # reach a majority; reads of a stated age continue. Delayed messages arrive
+    # after the links have healed, among them orders and acknowledgements of an
+    # older term. An old primary that knows of its successor and cannot reach
+    # it may hold entries that no other target has: it is not read.
     Given two regions under writes, the primary is <place>
     When <lost> between the regions is lost
     Then the near region goes on writing
@@ -32,9 +31,10 @@
       | what the near region sends | far   | reads what is old enough only |
 
   Scenario: The near region's only holder is the steward when the far one goes
-    # Two of three holders are far, and so is the primary. The near holder took
-    # the lease while the other candidates were paused. Callers in the near
-    # region get a primary all the same: a VM of another zone there looks too.
+    # Two of three holders and the primary are in the far region. The near
+    # holder took the lease while the other candidates were paused. Callers in
+    # the near region still get a primary, because a VM of another zone there
+    # also reports the failure.
     Given two regions under writes, the primary is far
     When the lease goes to the near region's only holder
     And what the far region sends between the regions is lost
--- a/features/steps/comparison_steps.py
+++ b/features/steps/comparison_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how two neighbours compare versions, over a network in memory."""
+"""Steps of two neighbours that compare versions over an in-memory network."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 class MemoryPeers:
-    """Delivers each message at once, and keeps a copy."""
+    """Delivers each message at once and records a copy."""
 
     def __init__(self, network: dict[str, MemoryPeers], sent: Any) -> None:
         self._network = network
         self._sent = sent
         self.handlers: dict[str, Any] = {}
 
-    def add_handler(self, which: str, callback: Any) -> None:
+    def add_handler(self, kind: str, callback: Any) -> None:
         """Register a handler."""
-        self.handlers[which] = callback
+        self.handlers[kind] = callback
 
     def send(self, address: str, message: Any) -> None:
-        """Deliver a message that wants no answer."""
+        """Deliver a message that needs no answer."""
         self._deliver(address, message, lambda answer: None)
 
     def send_all(self, addresses: list[str], message: Any) -> None:
@@ -50,7 +50,7 @@
     def ask(
         self, address: str, message: Any, timeout: float, on_answer: Any
     ) -> None:
-        """Deliver a question and its answer."""
+        """Deliver a request and its answer."""
 
         def reply(answer: Any) -> None:
             on_answer(self._copy(answer))
@@ -68,35 +68,35 @@
         return self._sent[-1]
 
 
-class Comparer:
-    """One VM: the real component over a blackboard."""
+class SimVm:
+    """One VM: the real component with a blackboard."""
 
     def __init__(self, vm: Vm, peers: MemoryPeers) -> None:
         self.board = Blackboard(local_vm=vm)
         self.board.vms = {each.name: each for each in LISTED}
         self.board.vms_revision = 1
         for shard in range(SHARD_COUNT):
-            self.take_shard(str(shard), 1, None)
+            self.apply_shard(str(shard), 1, None)
         self.sync = PeerSync(
             reactor=SimpleNamespace(now=lambda: 0.0),
             board=self.board,
             peers=peers,
             store=SimpleNamespace(
                 on_change=[],
-                apply_shard_value=self.take_shard,
-                apply_vms=self.take_vms,
+                apply_shard_value=self.apply_shard,
+                apply_vms=self.apply_vms,
             ),
             membership=Membership(),
             interval=2.0,
         )
 
-    def take_shard(self, name: str, version: int, value: Any) -> None:
+    def apply_shard(self, name: str, version: int, value: Any) -> None:
         """Put a shard in force."""
         self.board.table[int(name)] = TableShard(
             shard=int(name), version=version, rows={}
         )
 
-    def take_vms(self, revision: int, vms: Any) -> None:
+    def apply_vms(self, revision: int, vms: Any) -> None:
         """Put a list in force."""
         self.board.vms_revision = revision
 
@@ -105,26 +105,26 @@
 def given_two(context: Any) -> None:
     context.sent = []
     network: dict[str, MemoryPeers] = {}
-    context.comparers = []
+    context.vms = []
     for vm in LISTED:
         network[vm.address] = MemoryPeers(network, context.sent)
-        context.comparers.append(Comparer(vm, network[vm.address]))
-    context.first, context.second = context.comparers
+        context.vms.append(SimVm(vm, network[vm.address]))
+    context.first, context.second = context.vms
 
 
 def compare(context: Any) -> None:
     context.newest = [
         max(pair)
         for pair in zip(
-            *[version_list(each) for each in context.comparers], strict=True
+            *[version_list(each) for each in context.vms], strict=True
         )
     ]
     context.first.sync.compare_with("vm-2", "vm-2")
 
 
-def version_list(comparer: Comparer) -> list[int]:
+def version_list(vm: SimVm) -> list[int]:
     """Return the revision of the list, then all versions of shards."""
-    versions = fact_versions(comparer.board)
+    versions = fact_versions(vm.board)
     return [versions.vms_revision, *versions.shards]
 
 
@@ -135,19 +135,19 @@
 
 @when("{newer} without an announcement and the first compares")
 def when_newer(context: Any, newer: str) -> None:
-    first, second = context.comparers
+    first, second = context.vms
     match newer:
         case "the first has a newer shard":
-            first.take_shard("3", 2, None)
+            first.apply_shard("3", 2, None)
         case "the second has a newer shard":
-            second.take_shard("3", 2, None)
+            second.apply_shard("3", 2, None)
         case "each of the two has a newer shard":
-            first.take_shard("3", 2, None)
-            second.take_shard("4", 5, None)
+            first.apply_shard("3", 2, None)
+            second.apply_shard("4", 5, None)
         case "the first has a newer list of VMs":
-            first.take_vms(2, ())
+            first.apply_vms(2, ())
         case "the second has a newer list of VMs":
-            second.take_vms(2, ())
+            second.apply_vms(2, ())
         case "the second has nothing at all":
             second.board.table.clear()
         case _:
@@ -182,9 +182,9 @@
 
 @then("both have the newest of everything")
 def then_newest(context: Any) -> None:
-    for comparer in context.comparers:
-        found = version_list(comparer)
-        assert found == context.newest, (comparer.board.local_vm.name, found)
+    for vm in context.vms:
+        found = version_list(vm)
+        assert found == context.newest, (vm.board.local_vm.name, found)
 
 
 @then("the answer tells all versions")
--- a/features/steps/double_faults_steps.py
+++ b/features/steps/double_faults_steps.py
@@ -19,8 +19,8 @@
 from bamboospring.testing.fleet import wait_until
 
 WRITE = "INSERT INTO entries VALUES (?, 'x')"
-# Less than the patience with which a change begins, and enough to see that
-# the term is won while its winner does not know it yet.
+# Less than the probe timeout of a change, and long enough to observe a won
+# term before its winner receives the answer.
 LATE_MS = 700
 OWN_ROWS = 2_000_000
 
@@ -55,7 +55,7 @@
         seconds=30,
         what="a term without a primary",
     )
-    # The nonce of the update that won the term begins with its VM's name.
+    # The nonce of the update that won the term starts with its VM's name.
     steward = group_value(context)["steward"].split("/")[0]
     context.fleet.kill(steward)
 
@@ -96,7 +96,7 @@
 
 
 def check_no_writes(context: Any, seconds: float) -> None:
-    # Those under way at the kill may still be confirmed.
+    # Writes in flight at the kill may still be confirmed.
     time.sleep(1.0)
     start = time.monotonic()
     time.sleep(seconds)
@@ -134,7 +134,7 @@
 
 @then("no term has had two primaries")
 def one_primary_each(context: Any) -> None:
-    """Each term that was ever opened has one start, as recorded."""
+    """Check that each recorded term has exactly one start."""
     terms = [start["term"] for start in group_value(context)["starts"]]
     assert terms == sorted(set(terms)), terms
     probes = [
@@ -147,7 +147,7 @@
 
 
 def edit_targets(context: Any, names: list[str]) -> None:
-    """Store other targets of the group, whoever else updates it meanwhile."""
+    """Store other targets of the group, with retries on conflicts."""
     every = context.every_target
 
     def stored() -> bool:
--- a/features/steps/lease_machine.py
+++ b/features/steps/lease_machine.py
@@ -1,13 +1,13 @@
-"""Deterministic exploration of one lease and three that want it.
+"""Deterministic exploration of one lease and three candidates.
 
-The real `LeaseKeeper` runs on clocks of different rates. Calls are lost, land
-late, or their answers come late; a VM is paused, restarted or told to leave;
-the platform comes back from an older copy.
-Checked: at most one VM takes itself for the holder at any instant, and once
-calls go through again somebody gets the lease.
+The real `LeaseKeeper` runs on clocks of different rates. Calls are lost or
+take effect late, or their answers are late; a VM is paused, restarted or told
+to leave; the platform is restored from an older copy.
+Checked: at most one VM considers itself the holder at any instant, and a VM
+gets the lease once calls succeed again.
 
-`MUTATIONS` lists the faults that it must catch; features/exploration.feature
-runs each.
+`MUTATIONS` lists the faults that the exploration must find;
+features/exploration.feature runs each.
 """
 
 from __future__ import annotations
@@ -39,15 +39,16 @@
 __all__ = ["MUTATIONS", "explore_leases"]
 
 TIMING = LeaseTiming()
-# The margin has to cover clocks that differ this much in rate. The slow one
-# is the last in rank, so that its successors don't give it more time.
+# The safety margin must cover this difference of clock rates. The slowest
+# clock is last in rank, so that the stagger delay of its successors gives it
+# no more time.
 RATES = (1.05, 1.0, 0.95)
 EMPTY = LeaseValue(vm="", nonce="", duration=0.0)
 WHICH = st.integers(0, len(RATES) - 1)
 
 
 class SimPlatform:
-    """One object with conditional updates, and all states that it had."""
+    """One object with conditional updates and the history of its values."""
 
     def __init__(self) -> None:
         self.era = 1
@@ -69,20 +70,20 @@
             version=version, value=self.states[-1], missing_in_era=self.era
         )
 
-    def come_back(self, writes: int) -> None:
-        """Lose the newest updates, but for the one that made the object."""
+    def restore(self, writes: int) -> None:
+        """Lose the newest updates, except the one that created the object."""
         self.era += 1
         self.states = self.states[: max(2, len(self.states) - writes)]
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Call:
-    """A call under way; the effect and the answer arrive on their own."""
+    """A call in flight; its effect and its answer occur independently."""
 
     vm: SimVm
     action: ReadLease | WriteLease
     sent_at: float
-    effected: bool = False
+    took_effect: bool = False
     answered: bool = False
     era: int = 0
     done: bool = False
@@ -111,7 +112,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Interleave what can happen to the calls and the VMs."""
+    """Interleave the events of calls and VMs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -131,16 +132,16 @@
             self.calls.append(Call(vm=vm, action=action, sent_at=now))
 
     def _effect(self, call: Call) -> None:
-        if call.effected:
+        if call.took_effect:
             return
-        call.effected = True
+        call.took_effect = True
         call.era = self.platform.era
         if isinstance(call.action, WriteLease):
             call.done = self.platform.put(call.action)
         call.seen = self.platform.seen()
 
     def _answer(self, call: Call) -> None:
-        """Give the answer, or that none came if nothing was effected."""
+        """Deliver the answer, or a missing one if the call had no effect."""
         if call.answered or call.vm.paused:
             return
         call.answered = True
@@ -156,9 +157,9 @@
             keeper.on_read(call.sent_at, now, seen)
 
     def _of_another_era(self, call: Call) -> bool:
-        """Tell whether the platform judged a condition of before its return.
+        """Return whether the update was conditional on an earlier era.
 
-        The client of the platform then says that nothing is known.
+        The platform client then reports that the outcome is unknown.
         """
         action = call.action
         if not isinstance(action, WriteLease) or not action.if_version:
@@ -170,11 +171,11 @@
             self._effect(call)
         if answer:
             self._answer(call)
-        if call.answered and call.effected and call in self.calls:
+        if call.answered and call.took_effect and call in self.calls:
             self.calls.remove(call)
 
     @rule(rounds=st.integers(1, 30))
-    def run_smoothly(self, rounds: int) -> None:
+    def run_without_faults(self, rounds: int) -> None:
         for _ in range(rounds):
             self._advance(0.1)
             for call in list(self.calls):
@@ -182,7 +183,7 @@
 
     @rule(chances=st.randoms(use_true_random=False))
     def run_in_disorder(self, chances: Random) -> None:
-        """Let calls be lost, land late and be answered late."""
+        """Lose calls, delay their effects and delay their answers."""
         for _ in range(60):
             self._advance(0.1)
             for call in list(self.calls):
@@ -194,21 +195,21 @@
 
     @rule(rounds=st.integers(0, 30))
     def stop_last_in_rank(self, rounds: int) -> None:
-        """Let the slowest clock lead, then pause it while others look."""
+        """Let the VM with the slowest clock lead, then pause it."""
         first, second, last = self.vms
         first.paused = second.paused = True
         last.paused = False
         last.rank = 2
-        self.run_smoothly(45)
+        self.run_without_faults(45)
         first.paused = second.paused = False
-        self.run_smoothly(rounds)
+        self.run_without_faults(rounds)
         last.paused = True
-        self.run_smoothly(45)
+        self.run_without_faults(45)
 
     @rule(rounds=st.integers(20, 34))
-    def wake_to_late_answer(self, rounds: int) -> None:
+    def resume_to_late_answer(self, rounds: int) -> None:
         """Pause the holder between a renewal's effect and its answer."""
-        self.run_smoothly(10)
+        self.run_without_faults(10)
         for _ in range(12):
             self._advance(0.1)
             for call in list(self.calls):
@@ -217,28 +218,28 @@
                     continue
                 self._effect(call)
                 call.vm.paused = True
-        self.run_smoothly(rounds)
+        self.run_without_faults(rounds)
         for vm in self.vms:
             vm.paused = False
-        self.run_smoothly(10)
+        self.run_without_faults(10)
 
     @rule(writes=st.integers(0, 12), rounds=st.integers(0, 20))
-    def come_back_older(self, writes: int, rounds: int) -> None:
-        """Lose the newest updates while VMs hold what they were told."""
-        self.platform.come_back(writes)
-        self.run_smoothly(rounds)
+    def restore_older_copy(self, writes: int, rounds: int) -> None:
+        """Lose the newest updates while VMs rely on them."""
+        self.platform.restore(writes)
+        self.run_without_faults(rounds)
 
     @rule(pause=st.integers(0, 30), writes=st.integers(1, 30))
-    def come_back_while_holder_sleeps(self, pause: int, writes: int) -> None:
-        """Pass the lease on, and lose that it was passed on."""
-        self.run_smoothly(45)
+    def restore_while_holder_paused(self, pause: int, writes: int) -> None:
+        """Change the holder, and lose the update that changed it."""
+        self.run_without_faults(45)
         for vm in self.vms:
             vm.paused = vm.keeper.holds(self.now * vm.rate)
-        self.run_smoothly(40 + pause)
-        self.platform.come_back(writes)
+        self.run_without_faults(40 + pause)
+        self.platform.restore(writes)
         for vm in self.vms:
             vm.paused = False
-        self.run_smoothly(45)
+        self.run_without_faults(45)
 
     def _advance(self, seconds: float) -> None:
         self.now += seconds
@@ -247,7 +248,7 @@
         self._check()
 
     @rule(which=WHICH)
-    def pause_or_wake(self, which: int) -> None:
+    def pause_or_resume(self, which: int) -> None:
         self.vms[which].paused = not self.vms[which].paused
 
     @rule(which=WHICH)
@@ -268,14 +269,14 @@
         assert len(leaders) <= 1, f"two hold the lease: {leaders}"
 
     def teardown(self) -> None:
-        """See that a VM gets the lease once all is well again."""
-        for place, vm in enumerate(self.vms):
+        """Check that a VM gets the lease once all faults have ended."""
+        for rank, vm in enumerate(self.vms):
             vm.paused = False
-            vm.rank = place
-        self.run_smoothly(30)
-        self.run_smoothly(30)
+            vm.rank = rank
+        self.run_without_faults(30)
+        self.run_without_faults(30)
         holds = [vm.keeper.holds(self.now * vm.rate) for vm in self.vms]
-        assert any(holds), "nobody gets the lease"
+        assert any(holds), "no VM gets the lease"
 
 
 def _stored_from_answer(
@@ -291,17 +292,17 @@
 def _forget_unanswered(
     keeper: LeaseKeeper, sent_at: float, now: float, action: Any
 ) -> None:
-    """Believe that an unanswered renewal was done."""
+    """Treat an unanswered renewal as successful."""
     if isinstance(action, WriteLease) and action.value.vm:
         _STORED(keeper, sent_at, now, action, action.if_version + 1)
     else:
         _UNANSWERED(keeper, sent_at, now, action)
 
 
-def _free_as_shown(keeper: LeaseKeeper) -> float:
-    """Take what the store shows for what was agreed."""
-    value = keeper._seen.value
-    return keeper._seen_at + (value.duration if value.vm else 0.0)
+def _available_as_stored(keeper: LeaseKeeper) -> float:
+    """Ignore that the store may show an older state."""
+    value = keeper._observed.value
+    return keeper._observed_at + (value.duration if value.vm else 0.0)
 
 
 _STORED = LeaseKeeper.on_stored
@@ -314,15 +315,15 @@
     ),
     "count_lease_from_answer": ("on_stored", _stored_from_answer),
     "take_lease_too_early": (
-        "_free_at",
-        lambda keeper: keeper._seen_at + 1.0,
+        "_available_at",
+        lambda keeper: keeper._observed_at + 1.0,
     ),
     "trust_unanswered_renewal": ("on_no_answer", _forget_unanswered),
     "renew_lease_of_earlier_era": (
-        "_keeps",
-        lambda keeper, now: keeper._is_mine(),
+        "_is_renewable",
+        lambda keeper, now: keeper._is_own(),
     ),
-    "take_lease_of_earlier_era": ("_free_at", _free_as_shown),
+    "take_lease_of_earlier_era": ("_available_at", _available_as_stored),
 }
 
 
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -1,4 +1,4 @@
-"""Steps of leases with real processes."""
+"""Steps of lease.feature, with real processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def lease(context: Any) -> dict[str, Any]:
-    """Return the group's lease as the platform has it."""
+    """Return the group's lease object from the platform."""
     return context.fleet.object("lease", BUCKET)
 
 
@@ -39,7 +39,7 @@
 
 
 def wait_renewal(context: Any) -> None:
-    """Wait for the moment just after a renewal."""
+    """Wait until just after a renewal."""
     version = lease(context)["version"]
     wait_until(
         lambda: lease(context)["version"] > version,
@@ -77,21 +77,21 @@
     )
 
 
-@then("another VM takes the lease, not before it lapsed")
+@then("another VM takes the lease, not before it expired")
 def another_takes(context: Any) -> None:
     wait_until(
         lambda: holder(context) != context.holder,
         seconds=15,
         what="another holder",
     )
-    # The last renewal came up to a poll before the fault was brought about.
-    waited = time.monotonic() - context.stopped_at
-    assert waited >= DURATION - 0.2, waited
-    context.taker = holder(context)
+    # The last renewal was up to one poll before the fault.
+    elapsed = time.monotonic() - context.stopped_at
+    assert elapsed >= DURATION - 0.2, elapsed
+    context.new_holder = holder(context)
 
 
-@when("the frozen lease holder wakes")
-def wake_holder(context: Any) -> None:
+@when("the frozen lease holder resumes")
+def resume_holder(context: Any) -> None:
     context.fleet.thaw(context.holder)
 
 
@@ -99,7 +99,7 @@
 def lease_stays(context: Any) -> None:
     end = time.monotonic() + 4
     while time.monotonic() < end:
-        assert holder(context) == context.taker
+        assert holder(context) == context.new_holder
         time.sleep(0.1)
 
 
@@ -131,9 +131,9 @@
         seconds=15,
         what="renewals",
     )
-    taker = holder(context)
+    new_holder = holder(context)
     for _ in range(30):
-        assert holder(context) == taker
+        assert holder(context) == new_holder
         time.sleep(0.1)
 
 
--- a/features/steps/membership_properties.py
+++ b/features/steps/membership_properties.py
@@ -1,15 +1,16 @@
 """Properties of placement and of the shutdown's controller.
 
-Seen failing with each of these faults seeded (by hand, restored after):
-1. holders are the best ranked without regard to zones  -> not spread
-2. rank hashes the position in the list, not the name   -> places move
-3. neighbours are the next in the order of names        -> not connected
-4. judge_phase ignores work                             -> cut before the limit
-5. judge_phase ignores the limit                        -> never ends
-6. a new list does not reach the first VMs kept  -> not as anew
-7. only the best three VMs of a zone are asked  -> not among those asked
-8. VMs that left count like others      -> not among those asked
-9. a full VM is not passed over                 -> fuller than the bound
+The properties failed with each of these faults, which were seeded by hand:
+1. holders are the highest ranked, regardless of zones   -> not spread
+2. rank_vms hashes the index in the list, not the name   -> holders move
+3. neighbours are the next VMs in the order of names     -> not connected
+4. drain_phase ignores work                  -> cut before the maximum duration
+5. drain_phase ignores the maximum duration              -> never ends
+6. a new list does not update the first VMs that are kept
+                                      -> differs from a new placement
+7. only the best three VMs of a zone are asked           -> a holder is missing
+8. VMs that left count like others                       -> a holder is missing
+9. a VM at its limit is not skipped                      -> above the bound
 """
 
 from __future__ import annotations
@@ -37,8 +38,8 @@
 __all__ = [
     "check_asked",
     "check_drain",
-    "check_even",
-    "check_even_spread",
+    "check_balanced",
+    "check_balanced_spread",
     "check_holders_spread",
     "check_movement",
     "check_neighbours_connect",
@@ -48,7 +49,7 @@
 
 
 def fleet(size: int, zones: int, regions: int) -> list[Vm]:
-    """Return a fleet laid out evenly."""
+    """Return a fleet with VMs spread evenly over zones and regions."""
     return [
         Vm(
             name=f"vm-{number}",
@@ -72,7 +73,7 @@
 
 
 def check_holders_spread(count: int) -> None:
-    """No place has two holders while another, of live VMs, has none."""
+    """No zone has two holders while another zone with live VMs has none."""
 
     @checked(count)
     @given(SIZES, ZONES, REGIONS, strategies.sets(strategies.integers(0, 59)))
@@ -107,66 +108,66 @@
 
 
 def check_movement(count: int) -> None:
-    """A VM that goes moves nothing between VMs that stay."""
+    """Removing a VM moves no groups between the remaining VMs."""
 
     @checked(count)
     @given(strategies.integers(2, 60), strategies.integers(0, 59))
     def check(size: int, place: int) -> None:
         vms = fleet(size, 1, 1)
         gone = vms[place % size]
-        left = [vm for vm in vms if vm != gone]
+        remaining = [vm for vm in vms if vm != gone]
         for group in GROUPS:
             before = [vm for vm in rank_vms(group, vms) if vm != gone]
-            assert rank_vms(group, left) == before
+            assert rank_vms(group, remaining) == before
             kept = set(choose_holders(group, vms, 3)) - {gone}
-            assert kept <= set(choose_holders(group, left, 3))
+            assert kept <= set(choose_holders(group, remaining, 3))
 
     check()
 
 
-def place(vm: Vm) -> tuple[str, str]:
+def zone_of(vm: Vm) -> tuple[str, str]:
     return vm.region, vm.availability_zone
 
 
-def places_of(vms: list[Vm]) -> int:
+def count_zones(vms: list[Vm]) -> int:
     live = [vm for vm in vms if vm.liveness is Liveness.LIVE]
-    return len({place(vm) for vm in live or vms})
+    return len({zone_of(vm) for vm in live or vms})
 
 
 def leaving(vm: Vm) -> Vm:
     return replace(vm, liveness=Liveness.LEAVING)
 
 
-def check_even() -> None:
-    """At the size to design for the fullest VM has half as much again."""
+def check_balanced() -> None:
+    """At the design size, no VM holds more than 5 groups."""
     vms = fleet(480, 4, 2)
     groups = [f"group-{number}" for number in range(530)]
-    even = Placement(vms, groups)
-    held = Counter(vm.name for name in groups for vm in even.holders(name))
+    balanced = Placement(vms, groups)
+    held = Counter(vm.name for name in groups for vm in balanced.holders(name))
     plain = Placement(vms)
     alone = Counter(vm.name for name in groups for vm in plain.holders(name))
     assert max(held.values()) <= 5 < max(alone.values()), (held, alone)
 
 
-def check_even_spread(count: int) -> None:
-    """Even holders are in the places of the plain ones; history is nothing.
+def check_balanced_spread(count: int) -> None:
+    """Balanced holders are in the zones of unbalanced ones, in any history.
 
-    A VM that saw each list and name come, in some order, chooses as one that
-    has just started.
+    A VM that received all lists and names in some order chooses the same
+    holders as one that has just started.
     """
 
     @checked(count)
     @given(SIZES, ZONES, REGIONS, strategies.randoms(use_true_random=False))
-    def check(size: int, zones: int, regions: int, chance: Any) -> None:
+    def check(size: int, zones: int, regions: int, rng: Any) -> None:
         vms = fleet(size, zones, regions)
         old = Placement()
         for _ in range(4):
             listed = [
-                leaving(vm) if chance.random() < 0.1 else vm
-                for vm in chance.sample(vms, chance.randint(1, size))
+                leaving(vm) if rng.random() < 0.1 else vm
+                for vm in rng.sample(vms, rng.randint(1, size))
             ]
             listed.sort(key=lambda vm: vm.name)
-            groups = chance.sample(GROUPS, chance.randint(1, 60))
+            groups = rng.sample(GROUPS, rng.randint(1, 60))
             old.set_vms(listed)
             old.set_groups(groups)
             while not old.prepare(7):
@@ -177,49 +178,49 @@
                 plain = choose_holders(name, listed, 3)
                 chosen = new.holders(name)
                 assert len(set(chosen)) == len(plain)
-                assert Counter(map(place, chosen)) == Counter(
-                    map(place, plain)
+                assert Counter(map(zone_of, chosen)) == Counter(
+                    map(zone_of, plain)
                 )
 
     check()
 
 
 def check_asked(count: int) -> None:
-    """Each VM that holds a group, or just did, is among those asked.
+    """Each VM that holds a group, or recently did, is among those asked.
 
-    Any VMs leave the list, or begin to leave, and up to two join each zone;
-    the names of groups that the VMs know have nothing in common.
+    Any VMs are removed from the list or begin to leave, and up to two join
+    each zone; the VMs know arbitrary names of groups.
     """
 
     @checked(count)
     @given(SIZES, ZONES, REGIONS, strategies.randoms(use_true_random=False))
-    def check(size: int, zones: int, regions: int, chance: Any) -> None:
+    def check(size: int, zones: int, regions: int, rng: Any) -> None:
         vms = fleet(size, zones, regions)
         old = [
-            leaving(vm) if chance.random() < 0.2 else vm
-            for vm in chance.sample(vms, chance.randint(1, size))
+            leaving(vm) if rng.random() < 0.2 else vm
+            for vm in rng.sample(vms, rng.randint(1, size))
         ]
-        part = chance.random()
+        part = rng.random()
         new = [
-            leaving(vm) if chance.random() < 0.2 else vm
+            leaving(vm) if rng.random() < 0.2 else vm
             for vm in old
-            if chance.random() < part
+            if rng.random() < part
         ]
         joined: Counter[tuple[str, str]] = Counter()
         names = {vm.name for vm in old}
         for vm in vms:
-            if vm.name not in names and joined[place(vm)] < 2:
-                joined[place(vm)] += 1
+            if vm.name not in names and joined[zone_of(vm)] < 2:
+                joined[zone_of(vm)] += 1
                 new.append(vm)
-        if places_of(old) < min(3, places_of(new)):
-            # More holders in one zone than today: fewer may join above them.
+        if count_zones(old) < min(3, count_zones(new)):
+            # A zone had more holders before, so fewer VMs may join above them.
             return
         listed = {vm.name for vm in new}
         gone = [vm for vm in old if vm.name not in listed]
         for name in GROUPS[:10]:
             asked = choose_possible_holders(name, new + gone, listed)
             for vms_then in (old, new):
-                known = [name, *chance.sample(GROUPS, chance.randint(0, 60))]
+                known = [name, *rng.sample(GROUPS, rng.randint(0, 60))]
                 then = Placement(vms_then, set(known))
                 assert {vm.name for vm in then.holders(name)} <= asked
 
@@ -227,7 +228,7 @@
 
 
 def check_neighbours_connect(count: int) -> None:
-    """Every VM hears from every other when a tenth of them is dead."""
+    """Every VM is connected to every other if a tenth of them is dead."""
 
     @checked(count)
     @given(
@@ -254,17 +255,22 @@
 
 
 def reached_from(start: str, links: dict[str, set[str]]) -> set[str]:
-    """Return all that can be reached over links."""
+    """Return all VMs that can be reached over links."""
     reached = {start}
-    edge = {start}
-    while edge:
-        edge = {name for known in edge for name in links[known]} - reached
-        reached |= edge
+    frontier = {start}
+    while frontier:
+        frontier = {
+            name for known in frontier for name in links[known]
+        } - reached
+        reached |= frontier
     return reached
 
 
 def check_drain(count: int) -> None:
-    """Work is waited for, idle connections for a while, both not for ever."""
+    """Check that a shutdown waits for work and, briefly, for connections.
+
+    Neither wait exceeds the maximum duration.
+    """
 
     @checked(count)
     @given(
@@ -276,27 +282,27 @@
         strategies.integers(0, 3),
     )
     def check(
-        notice: float,
-        patience: float,
-        limit: float,
+        notice_period: float,
+        idle_grace: float,
+        max_duration: float,
         elapsed: float,
         work: int,
         connections: int,
     ) -> None:
         plan = DrainPlan(
             started_at=0.0,
-            notice_period=notice,
-            idle_grace=patience,
-            max_duration=limit,
+            notice_period=notice_period,
+            idle_grace=idle_grace,
+            max_duration=max_duration,
         )
         phase = drain_phase(
             plan, now=elapsed, work=work, connections=connections
         )
-        if elapsed >= limit:
+        if elapsed >= max_duration:
             assert phase is DrainPhase.FAREWELL
-        elif elapsed < notice:
+        elif elapsed < notice_period:
             assert phase is DrainPhase.NOTICE
-        elif work or (connections and elapsed < notice + patience):
+        elif work or (connections and elapsed < notice_period + idle_grace):
             assert phase is DrainPhase.FINISHING
         else:
             assert phase is DrainPhase.FAREWELL
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -24,19 +24,19 @@
 from bamboospring.testing.fleet import wait_until
 
 LIST_LAG_MS = 1000
-# Far more than a shutdown of a VM with short transactions takes.
+# Much longer than the shutdown of a VM with short transactions.
 SHUTDOWN_SECONDS = 30.0
 DRAIN = {"drain_notice_ms": 2500, "drain_idle_ms": 1500}
-# The balancer looks seldom and transactions last, so that a shutdown that
-# does not wait for either is seen.
+# The balancer polls rarely and transactions are long, so that a shutdown that
+# does not wait for both is detected.
 BALANCER_SECONDS = 1.0
 HOLD_SECONDS = 0.7
 
 
 class Balancer:
-    """Keeps the list of entries that say they are ready, as a balancer does.
+    """Maintains the list of ready entries, like a load balancer.
 
-    It asks each VM now and then and gives callers only ready ones.
+    It polls each VM periodically and offers only ready ones to callers.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -47,7 +47,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling."""
         self._stop.set()
         self._thread.join(5)
 
@@ -58,13 +58,13 @@
                 for vm in self._fleet.vms.values()
                 if is_ready(vm.operators_listen)
             ]
-            # In place: callers hold this very list.
+            # Changed in place, because callers use this list.
             if ready:
                 self.entries[:] = ready
 
 
 def is_ready(address: str) -> bool:
-    """Ask a VM's readiness."""
+    """Return whether a VM reports readiness."""
     host, _, port = address.rpartition(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=1)
     try:
@@ -103,7 +103,7 @@
     assert context.load.done > 100 and context.load.transactions > 3
 
 
-# Leaving targets.
+# Leaving targets
 
 
 @when("an operator names a replica as leaving")
@@ -125,7 +125,7 @@
     assert context.load.done > done + 20
 
 
-# Leaving VMs.
+# Leaving VMs
 
 
 def holders(fleet: Fleet, leaving: str = "") -> list[str]:
@@ -162,7 +162,7 @@
 def when_pinned(context: Any) -> None:
     fleet = context.fleet
     context.vm, other = holders(fleet)[:2]
-    # An entry that is a holder itself takes the statement.
+    # An entry that is a holder runs the statement itself.
     entries = [fleet.vms[context.vm].entry, fleet.vms[other].entry]
     context.caller = Caller(entries=entries)
     context.begun = context.caller.begin(GROUP)
@@ -209,8 +209,9 @@
 def wait_shares(fleet: Fleet) -> None:
     """Wait until each holder has its share of each target.
 
-    In the first second of a group's life one holder may have one alone. If
-    it dies then, the others get theirs only after it has left the list.
+    In the first second of a group, one holder may be the only one that has a
+    share. If it dies then, the others get theirs only after it is removed from
+    the list.
     """
 
     def shared(name: str) -> bool:
@@ -269,7 +270,7 @@
         status = Operator(fleet=fleet, vm=context.successor).call(
             "GET", "/status.json"
         )
-        # A VM tells of the groups that it holds.
+        # The status contains the groups that the VM holds.
         return GROUP in status["groups"]
 
     wait_until(serves, seconds=seconds, what="the successor holds the group")
@@ -277,7 +278,7 @@
     assert caller.read(GROUP, "SELECT 1").done
 
 
-# Generated cases.
+# Generated cases
 
 
 @then(
@@ -287,20 +288,17 @@
     membership_properties.check_holders_spread(count)
 
 
-@then(
-    "in {count:d} generated fleets one VM's change moves only its own groups' "
-    "places"
-)
+@then("in {count:d} generated fleets removing a VM moves only its own groups")
 def then_moves(context: Any, count: int) -> None:
     membership_properties.check_movement(count)
 
 
 @then(
-    "in {count:d} generated histories even holders are spread as plain ones "
-    "and the same at all VMs"
+    "in {count:d} generated histories balanced holders are spread like "
+    "unbalanced ones and the same at all VMs"
 )
-def then_even_spread(context: Any, count: int) -> None:
-    membership_properties.check_even_spread(count)
+def then_balanced_spread(context: Any, count: int) -> None:
+    membership_properties.check_balanced_spread(count)
 
 
 @then(
@@ -312,8 +310,8 @@
 
 
 @then("at 480 VMs and 530 groups the fullest VM holds at most 5 groups")
-def then_even(context: Any) -> None:
-    membership_properties.check_even()
+def then_balanced(context: Any) -> None:
+    membership_properties.check_balanced()
 
 
 @then(
--- a/features/steps/names_known_steps.py
+++ b/features/steps/names_known_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a VM that learns the names of groups; the network is played."""
+"""Steps for a VM that learns the names of groups, with a simulated network."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         ),
         platform=SimpleNamespace(),
         store=SimpleNamespace(
-            note_placement=lambda: context.told.append(True)
+            announce_placement=lambda: context.told.append(True)
         ),
     )
 
@@ -82,9 +82,9 @@
         holders = context.placement.holders(name)
         assert holders == other.holders(name)
         plain += holders == choose_holders(name, context.vms, 3)
-    assert plain < len(context.names), "no VM was passed over"
+    assert plain < len(context.names), "no VM was skipped"
 
 
-@then("its parts are told once that holders have changed")
+@then("its components are told once that holders have changed")
 def then_told(context: Any) -> None:
     assert context.told == [True], context.told
--- a/features/steps/names_steps.py
+++ b/features/steps/names_steps.py
@@ -1,7 +1,7 @@
-"""The exploration of shares, with holders that depend on names of groups.
+"""Exploration of shares, with holders that depend on the names of groups.
 
-The VMs are of one zone, where all five may hold a group. Seeded faults must
-lead the exploration to an order that exceeds the limit.
+The VMs are in one zone, where all five may hold a group. With each seeded
+fault, the exploration must find an order of events that exceeds the limit.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 }
 
 
-# As more of these groups become known other VMs are passed over.
+# As more of these groups become known, other VMs are skipped.
 OTHERS = random.Random(0).sample([f"group-{n}" for n in range(60)], 40)
 KNOWN = (0, 9, 13, 20, 30)
 
@@ -62,7 +62,7 @@
 
 
 class NamesFleet(shares_steps.Fleet):
-    """VMs that learn names of groups, each in its own time."""
+    """VMs that learn the names of groups at different times."""
 
     asked = staticmethod(all_asked)
 
@@ -110,7 +110,7 @@
 
 
 class AskingTooFew(NamesFleet):
-    """The rule of the time when the best VM of a zone was the holder."""
+    """A fault: only the three highest-ranked VMs are asked for shares."""
 
     asked = staticmethod(best_three)
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -35,7 +35,8 @@
 from bamboospring.testing.platform import Platform
 
 SHARD = shard_of(GROUP)
-# What the callers themselves cost must not make the outage look short.
+# Seconds to wait so that the load of the callers' start does not make the
+# outage seem shorter.
 SETTLE_SECONDS = 2.0
 
 
@@ -53,7 +54,7 @@
 
 
 def calls(context: Any) -> int:
-    """Return the calls that VMs have made; the test's own don't count."""
+    """Return the number of calls by VMs, without those of the test."""
     counters = context.fleet.counters("platform")
     return sum(
         number
@@ -102,9 +103,9 @@
     operator = Operator(fleet=context.fleet, vm="vm-2")
     end = time.monotonic() + seconds
     report = operator.edit_accepted(GROUP, max_staleness_ms=777)
-    left = end - time.monotonic()
+    remaining = end - time.monotonic()
     (version,) = report["versions"].values()
-    observer.wait_in_force(SHARD, version, context.fleet.vms, left)
+    observer.wait_in_force(SHARD, version, context.fleet.vms, remaining)
     observer.stop()
 
 
@@ -114,7 +115,7 @@
 
 
 @then("in the {seconds:d} s after it no second saw more than {most:d} calls")
-def then_no_stampede(context: Any, seconds: int, most: int) -> None:
+def then_few_calls_after_outage(context: Any, seconds: int, most: int) -> None:
     numbers = [calls(context)]
     for _ in range(seconds):
         time.sleep(1)
@@ -168,25 +169,27 @@
         strategies.lists(strategies.floats(0, 1), min_size=2, max_size=40),
         strategies.floats(0.2, 10),
     )
-    def check(chances: list[float], limit: float) -> None:
-        backoff = Backoff(limit=limit)
-        waits = [backoff.failed(100.0, chance) for chance in chances]
-        for number, (wait, chance) in enumerate(zip(waits, chances)):
-            full = min(limit, FIRST_BACKOFF * 2.0 ** min(number, 16))
+    def check(random_floats: list[float], max_delay: float) -> None:
+        backoff = Backoff(max_delay=max_delay)
+        waits = [backoff.record_failure(100.0, each) for each in random_floats]
+        for number, (wait, each) in enumerate(zip(waits, random_floats)):
+            full = min(max_delay, FIRST_BACKOFF * 2.0 ** min(number, 16))
             assert full / 2 <= wait <= full
-            assert abs(wait - full * (0.5 + chance / 2)) < 1e-9
-        assert backoff.until == 100.0 + waits[-1]
-        backoff.succeeded()
-        assert backoff.failed(100.0, 1.0) == min(limit, FIRST_BACKOFF)
+            assert abs(wait - full * (0.5 + each / 2)) < 1e-9
+        assert backoff.blocked_until == 100.0 + waits[-1]
+        backoff.reset()
+        assert backoff.record_failure(100.0, 1.0) == min(
+            max_delay, FIRST_BACKOFF
+        )
 
     check()
 
 
-# The list of VMs, with fakes at the interfaces.
+# The list of VMs, with fake interfaces
 
 
 def listed(count: int) -> tuple[dict[str, str], ...]:
-    """Return a list of VMs as the platform gives it."""
+    """Return a list of VMs as the platform returns it."""
     return tuple(
         {"name": f"vm-{number}", "address": f"127.0.0.1:{number}"}
         for number in range(1, count + 1)
@@ -197,8 +200,10 @@
 def given_watcher(context: Any) -> None:
     context.now = 10.0
     context.asked = []
-    me = Vm(name="vm-1", address="127.0.0.1:1", availability_zone="zone-a")
-    context.board = Blackboard(local_vm=me)
+    local_vm = Vm(
+        name="vm-1", address="127.0.0.1:1", availability_zone="zone-a"
+    )
+    context.board = Blackboard(local_vm=local_vm)
     store = FactStore(
         board=context.board,
         placement=Placement(),
--- a/features/steps/primary_change_steps.py
+++ b/features/steps/primary_change_steps.py
@@ -55,7 +55,7 @@
 
 
 def break_primary(context: Any) -> None:
-    """Note when the fault begins; writes after it count."""
+    """Record when the fault begins; only later writes count."""
     context.broken_at = time.monotonic()
 
 
@@ -77,7 +77,7 @@
     break_primary(context)
 
 
-@when("the primary says that it leaves")
+@when("the primary reports that it leaves")
 def primary_leaves(context: Any) -> None:
     context.fleet.set_target(context.primary, leaving=True)
     break_primary(context)
@@ -159,7 +159,7 @@
 
 @when("a client beside the old primary commits there")
 def commit_beside(context: Any) -> None:
-    """Write to the primary directly, past the cut link."""
+    """Write to the primary directly, not over the cut link."""
     host, port = context.fleet.targets[context.primary].listen.split(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=5)
     post(conn, "/connect", {"id": 0, "holder": "beside"})
@@ -196,8 +196,8 @@
     context.fleet.restart(context.primary)
 
 
-@when("the frozen primary wakes")
-def wake_primary(context: Any) -> None:
+@when("the frozen primary resumes")
+def resume_primary(context: Any) -> None:
     context.fleet.thaw(context.primary)
 
 
@@ -206,13 +206,13 @@
     context.fleet.set_link_mode(f"target:{context.stays}", "pass")
 
 
-@when("the frozen member wakes")
-def wake_member(context: Any) -> None:
+@when("the frozen member resumes")
+def resume_member(context: Any) -> None:
     context.fleet.thaw(context.frozen)
 
 
-@when("the frozen steward wakes")
-def wake_steward(context: Any) -> None:
+@when("the frozen steward resumes")
+def resume_steward(context: Any) -> None:
     context.fleet.thaw(context.steward)
 
 
@@ -222,7 +222,7 @@
 
 
 def stored_rows(context: Any, target: str) -> set[int]:
-    """Return the rows that a member holds, asked past the proxy."""
+    """Return the rows that a member holds, read without the proxy."""
     rows = context.fleet.query(target, "SELECT id FROM entries")
     return {row[0] for row in rows}
 
@@ -244,7 +244,7 @@
     for name in names:
         stored = stored_rows(context, name)
         context.load.check(stored)
-        assert not stored & {-1, -2}, "an entry of the old primary is left"
+        assert not stored & {-1, -2}, "an entry of the old primary remains"
 
 
 @then("all members hold exactly the writes of the change and term 2")
@@ -292,7 +292,7 @@
 
 @then("for 4 seconds no write is done and stale reads are")
 def no_writes_stale_reads(context: Any) -> None:
-    # Those under way at the kill may still be confirmed by the replicas.
+    # Writes in flight at the kill may still be confirmed by the replicas.
     time.sleep(1.0)
     start = time.monotonic()
     reader = caller_at(context.fleet, "vm-2", deadline_ms=1500)
@@ -306,11 +306,11 @@
 
 @then("for 2 seconds no write is done but what a majority held before")
 def no_writes(context: Any) -> None:
-    """Check all writes that were told as done after the kill.
+    """Check all writes that were reported as done after the kill.
 
-    What was sent after it must not be among them. What was sent before may
-    be, also late; that a majority held it shows when the frozen member is
-    back and all that run must have it.
+    Writes sent after the kill must not be among them. Earlier writes may be,
+    also late; that a majority held them is checked when the frozen member is
+    back and all running members must have them.
     """
     time.sleep(2.0)
     wrong = [
@@ -321,12 +321,12 @@
     if wrong:
         print_late(context, wrong)
     assert not wrong, (f"killed at {context.killed_at:.3f}", wrong[:3])
-    # A term won without a majority in reach would only prolong the gap.
+    # A term won without a reachable majority would only prolong the gap.
     value = context.fleet.object("group", GROUP)["value"]
     assert (value["term"], value["primary"]) == (1, context.primary), value
 
 
-@then("some of these were told as done half a second after the kill")
+@then("some of these were reported as done half a second after the kill")
 def late_writes(context: Any) -> None:
     assert context.load.done_since(context.killed_at + 0.5)
 
@@ -339,14 +339,14 @@
 
 
 def print_late(context: Any, done: list[WriteRecord]) -> None:
-    """Print when each write was sent, who holds it and what was logged."""
+    """Print when each write was sent, whether it is held, and the logs."""
     held = stored_rows(context, member_that_stays(context))
     for record in done:
-        sent = (record.began - context.killed_at) * 1000
-        told = (record.at - context.killed_at) * 1000
+        sent_at = (record.began - context.killed_at) * 1000
+        done_at = (record.ended - context.killed_at) * 1000
         print(
-            f"row {record.row}: sent {sent:.0f} ms, told {told:.0f} ms after "
-            f"the kill, term {record.term}, held={record.row in held}"
+            f"row {record.row}: sent {sent_at:.0f} ms, done {done_at:.0f} ms "
+            f"after the kill, term {record.term}, held={record.row in held}"
         )
     for vm in context.fleet.vms:
         for line in context.fleet.process(vm).tail(4000).splitlines():
@@ -382,14 +382,14 @@
     assert terms == {1}, terms
 
 
-# A VM cut off together with the primary.
+# A VM that is cut off together with the primary.
 
 
 def wait_own_writes(context: Any) -> None:
-    """Wait until vm-1 writes over connections of its own.
+    """Wait until vm-1 writes over its own connections to the primary.
 
-    A holder that has just started has no share of the primary's slots yet
-    and leaves writes to the other holders.
+    A holder that has just started has no share of the primary's slots yet,
+    and writes go to the other holders.
     """
     rows = itertools.count(1)
     caller = caller_at(context.fleet, "vm-1", deadline_ms=700)
@@ -414,8 +414,8 @@
     fleet.set_link_mode("platform:vm-1", "freeze")
     for name in fleet.vms:
         fleet.set_link_mode(f"peers:{name}", "cut")
-    # The other VMs are on the far side of the cut; what they would do there
-    # is done by the next step, so they need not run.
+    # The other VMs are on the far side of the cut. The next step does their
+    # work, so they need not run.
     for name in ("vm-2", "vm-3"):
         fleet.freeze(name)
     for name in fleet.replicas(GROUP):
@@ -423,7 +423,7 @@
 
 
 def write_through(context: Any, row: int) -> CallerAnswer:
-    """Write one row through vm-1, in a session of its own."""
+    """Write one row through vm-1, in a new session."""
     caller = caller_at(context.fleet, "vm-1", deadline_ms=600)
     return caller.write(GROUP, WRITE, [row])
 
@@ -437,8 +437,9 @@
     first, second = (fleet.targets[name] for name in fleet_others(context))
     for target in (first, second):
         call_json(target.listen, "POST", "/fence", {"term": 2})
-    # Stopped, they take nothing more from the old primary. The writes follow
-    # at once: a holder that has not heard a majority for 2 s sends none.
+    # Fenced targets accept nothing more from the old primary. The writes are
+    # sent at once, because a holder without answers of a majority for 2 s
+    # sends none.
     context.rows = set(range(501, 541))
     context.answers = in_threads(
         [partial(write_through, context, row) for row in sorted(context.rows)]
@@ -464,24 +465,24 @@
 
 @then("writes through vm-1 are not acknowledged")
 def not_acknowledged(context: Any) -> None:
-    """The old primary has taken some, and none may be done.
+    """Check that no write is done, although the old primary has some.
 
-    Forty writes of one caller in one moment may be more than it may have
-    waiting: such a one is refused, and then it must not be at any member.
+    Forty simultaneous writes may exceed the caller's limit of waiting
+    statements: a refused write must not be at any member.
     """
     answers = dict(zip(sorted(context.rows), context.answers))
     context.rows.add(541)
     answers[541] = write_through(context, 541)
-    taken = stored_rows(context, context.primary) & context.rows
+    stored = stored_rows(context, context.primary) & context.rows
     for row, answer in answers.items():
         match answer.outcome:
             case "unknown":
                 pass
             case "not_run" | "overloaded":
-                assert row not in taken, answer
+                assert row not in stored, answer
             case _:
                 raise AssertionError(answer)
-    assert len(taken) >= 3, "the old primary took no write"
+    assert len(stored) >= 3, "the old primary stored no write"
 
 
 @when("the network of vm-1 heals")
--- a/features/steps/primary_change_support.py
+++ b/features/steps/primary_change_support.py
@@ -1,4 +1,4 @@
-"""Callers that write all the time, and what became of each write."""
+"""Callers that write continuously, and the outcomes of their writes."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WriteRecord:
-    """One write: its row, when it began and ended, and how."""
+    """One write: its row, its start and end times, and its outcome."""
 
     row: int
     began: float
-    at: float
+    ended: float
     outcome: str
     term: int
 
 
 class ChangeLoad:
-    """Threads that write rows of their own through all VMs, or some."""
+    """Threads that write distinct rows through all VMs, or some."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         self._stop = threading.Event()
         self._rows = itertools.count(first_row)
         self._threads = [
-            threading.Thread(target=self._run, args=(place,), daemon=True)
-            for place in range(threads)
+            threading.Thread(target=self._run, args=(index,), daemon=True)
+            for index in range(threads)
         ]
         for thread in self._threads:
             thread.start()
 
-    def _run(self, place: int) -> None:
+    def _run(self, index: int) -> None:
         caller = Caller(
-            entries=self._entries, entry_index=place, deadline_ms=2000
+            entries=self._entries, entry_index=index, deadline_ms=2000
         )
         while not self._stop.is_set():
             row = next(self._rows)
@@ -70,35 +70,37 @@
             answer = caller.write(GROUP, sql, [row])
             outcome, term = answer.outcome, answer.term
         except OSError:
-            # No session could be opened, so nothing was sent.
+            # No session was opened, so nothing was sent.
             outcome = "not_run"
         return WriteRecord(
             row=row,
             began=began,
-            at=time.monotonic(),
+            ended=time.monotonic(),
             outcome=outcome,
             term=term,
         )
 
     def stop(self) -> None:
-        """End the load and wait for the writes under way."""
+        """End the load and wait for the writes in flight."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
 
     def rows(self, *outcomes: str) -> set[int]:
-        """Return the rows whose writes ended so."""
+        """Return the rows of writes with the given outcomes."""
         return {r.row for r in self.records if r.outcome in outcomes}
 
     def done_since(self, instant: float) -> list[WriteRecord]:
         """Return the acknowledged writes that ended after an instant."""
         return [
-            r for r in self.records if r.outcome == "done" and r.at > instant
+            r
+            for r in self.records
+            if r.outcome == "done" and r.ended > instant
         ]
 
     def check(self, stored: set[Any]) -> None:
-        """Compare what a member holds with what callers were told."""
+        """Compare the rows that a member holds with the callers' outcomes."""
         lost = self.rows("done") - stored
         assert not lost, f"acknowledged and lost: {sorted(lost)[:10]}"
         ran = stored & self.rows("not_run", "overloaded")
-        assert not ran, f"told not run, but there: {sorted(ran)[:10]}"
+        assert not ran, f"reported as not run, but stored: {sorted(ran)[:10]}"
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -51,8 +51,8 @@
     "address": "127.0.0.1:99",
     "availability_zone": "zone-0",
 }
-TRIES = 24
-PATIENCE = 20.0
+ATTEMPTS = 24
+WAIT_SECONDS = 20.0
 SETTINGS: dict[str, Any] = {
     "callers": {"reuse_port": True},
     "timing": {"drain_notice_ms": 500, "drain_idle_ms": 1500},
@@ -72,18 +72,18 @@
 
 
 def _caller(context: Any) -> Caller:
-    """Return a caller of vm-1, whichever of its processes takes it."""
+    """Return a caller of vm-1, which either of its processes may accept."""
     return Caller(entries=[context.fleet.vms["vm-1"].callers_listen])
 
 
 def _fresh(caller: Caller) -> Caller:
-    """Go on over a new connection, which either process may get."""
+    """Use a new connection, which either process may accept."""
     caller.close_connections_except([])
     return caller
 
 
 class ConnectingLoad:
-    """Callers of one VM, half of them with a new connection each time."""
+    """Callers of one VM, half of them with a new connection per request."""
 
     def __init__(self, fleet: Fleet, callers: int = 8) -> None:
         self.faults: list[str] = []
@@ -98,7 +98,7 @@
             thread.start()
 
     def stop(self) -> None:
-        """Finish what is under way."""
+        """Finish the requests in flight."""
         self._stop.set()
         for thread in self._threads:
             thread.join(15)
@@ -130,7 +130,7 @@
 @then("sessions that go from process to process read what they wrote")
 def then_own_writes(context: Any) -> None:
     caller = _caller(context)
-    for number in range(TRIES):
+    for number in range(ATTEMPTS):
         written = _fresh(caller).write(GROUP, INSERT, [number, f"b{number}"])
         assert written.done, written
         found = _fresh(caller).read(GROUP, SELECT, [number])
@@ -140,7 +140,7 @@
 @then("transactions that go from process to process are committed")
 def then_transactions(context: Any) -> None:
     caller = _caller(context)
-    for number in range(TRIES, 2 * TRIES):
+    for number in range(ATTEMPTS, 2 * ATTEMPTS):
         begun = _fresh(caller).begin(GROUP)
         assert begun.done, begun
         run = _fresh(caller).statement(
@@ -193,7 +193,7 @@
     assert seen > 0, "no connection was seen at all"
 
 
-# Edits.
+# Edits
 
 
 @step("an edit is made at vm-2")
@@ -210,16 +210,16 @@
     shard = str(shard_of(GROUP))
     wait_until(
         lambda: context.watch.shards.get(shard, 0) >= context.version,
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what="the edit in force at the entry-only process",
     )
 
 
 class VersionWatch:
-    """Reads the versions in force at a process and notes each that fell."""
+    """Reads the versions in force at a process and records decreases."""
 
     def __init__(self, context: Any) -> None:
-        self.falls: list[str] = []
+        self.decreases: list[str] = []
         self.shards: dict[str, int] = {}
         self.samples = 0
         self._context = context
@@ -228,7 +228,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self._stop.set()
         self._thread.join(5)
 
@@ -241,18 +241,18 @@
             self.samples += 1
             for shard, before in self.shards.items():
                 if found.get(shard, 0) < before:
-                    self.falls.append(f"{shard}: {before} to {found}")
+                    self.decreases.append(f"{shard}: {before} to {found}")
             self.shards = found
 
 
 @when("the main process of vm-1 is frozen")
 def when_main_frozen(context: Any) -> None:
     context.fleet.freeze("vm-1")
-    # Else the platform's answer with the next edit would wait for it.
+    # Otherwise the platform's answer with the next edit would wait for it.
     context.fleet.set_link_mode("platform:vm-1", "cut")
 
 
-@when("the main process of vm-1 goes on, cut off, with the older version")
+@when("the main process of vm-1 resumes, cut off, with the older version")
 def when_main_thawed(context: Any) -> None:
     for link in ("peers:vm-2", "peers:vm-3"):
         context.fleet.set_link_mode(link, "cut")
@@ -273,24 +273,24 @@
 
 
 def _wait_main_knows(context: Any) -> None:
-    """Wait until the main process has the newest edit, and a bit more."""
+    """Wait until the main process has the newest edit, and a report later."""
     shard = str(shard_of(GROUP))
     wait_until(
         lambda: _main_status(context)["shards"][shard] >= context.version,
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what="the edit in force at the main process",
     )
     time.sleep(REPORT_INTERVAL)
 
 
-@then("no version ever fell at the entry-only process")
-def then_never_fell(context: Any) -> None:
+@then("no version ever decreased at the entry-only process")
+def then_never_decreased(context: Any) -> None:
     context.watch.stop()
-    assert context.watch.falls == [], context.watch.falls[:5]
+    assert context.watch.decreases == [], context.watch.decreases[:5]
     assert context.watch.samples > 100, context.watch.samples
 
 
-# Deaths and shutdowns.
+# Crashes and shutdowns
 
 
 @step("the main process of vm-1 is killed")
@@ -303,7 +303,7 @@
     second = context.fleet.add_entry_process("vm-1", 2, wait=False)
     wait_until(
         lambda: call_json(second.operators_listen, "GET", "/healthz"),
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what="the second process to run",
     )
 
@@ -311,13 +311,13 @@
 @then("new callers of vm-1 are served without it")
 def then_served(context: Any) -> None:
     caller = _caller(context)
-    # What the dead process was told last may still be tried first.
+    # The dead process may still be tried first for a while.
     wait_until(
         lambda: _fresh(caller).write(GROUP, INSERT, [900, "x"]).done,
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what="a write through the entry-only process",
     )
-    for number in range(TRIES):
+    for number in range(ATTEMPTS):
         written = _fresh(caller).write(GROUP, INSERT, [901 + number, "y"])
         assert written.done, written
         found = caller.read(GROUP, SELECT, [901 + number])
@@ -332,7 +332,7 @@
     context.fleet.restart("vm-1")
     wait_until(
         lambda: _main_counts(context),
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what="the main process to answer callers",
     )
 
@@ -367,13 +367,15 @@
     process = fleet.process(name)
     fleet.terminate(name)
     wait_until(
-        lambda: not process.running, seconds=PATIENCE, what=f"{name} to end"
+        lambda: not process.running,
+        seconds=WAIT_SECONDS,
+        what=f"{name} to end",
     )
     context.exit_code = process.exit_code
     fleet.restart(name)
     wait_until(
         lambda: _status(context)["counts"].get(GROUP),
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what=f"{name} to answer callers",
     )
 
@@ -390,27 +392,29 @@
     fleet.terminate(name)
     wait_until(
         lambda: _status(context)["draining"],
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what=f"{name} to drain",
     )
     fleet.freeze(name)
     context.conns = []
     for _ in range(count):
-        conn = socket.create_connection((host, int(port)), timeout=PATIENCE)
+        conn = socket.create_connection(
+            (host, int(port)), timeout=WAIT_SECONDS
+        )
         conn.sendall(SESSION_REQUEST)
         context.conns.append(conn)
-    # Past the notice: the first thing that it does is to close its listener.
+    # After the notice period, the process closes its listener first.
     time.sleep(SETTINGS["timing"]["drain_notice_ms"] / 1000)
     fleet.thaw(name)
 
 
-@then("all of them get an answer once it goes on")
+@then("all of them get an answer once it resumes")
 def then_all_answered(context: Any) -> None:
     answers = [_first_line(conn) for conn in context.conns]
     assert set(answers) == {b"HTTP/1.1 200 OK"}, collections.Counter(answers)
     process = context.fleet.process(context.entry_process.name)
     wait_until(
-        lambda: process.exit_code == 0, seconds=PATIENCE, what="a good end"
+        lambda: process.exit_code == 0, seconds=WAIT_SECONDS, what="a good end"
     )
 
 
@@ -423,11 +427,11 @@
         conn.close()
 
 
-# Operators.
+# Operators
 
 
 def _line(context: Any, state: str) -> Any:
-    """Return the process's status if the fleet shows it in a state."""
+    """Return the process's entries if the fleet shows it in a state."""
     found = Operator(fleet=context.fleet, vm="vm-2").call("GET", "/fleet.json")
     name = context.entry_process.name
     statuses = [each for each in found["vms"] if each["vm"] == name]
@@ -440,7 +444,7 @@
 def then_shown(context: Any, state: str) -> None:
     found = wait_until(
         lambda: _line(context, state),
-        seconds=PATIENCE,
+        seconds=WAIT_SECONDS,
         what=f"{state} in status",
     )
     if state == "ready":
@@ -483,7 +487,7 @@
 
 
 class MainPeers:
-    """Answers an entry-only process as its main process would."""
+    """Answers an entry-only process like its main process."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
@@ -495,25 +499,25 @@
         pass
 
     def ask(
-        self, _address: str, message: Any, _timeout: float, answered: Any
+        self, _address: str, message: Any, _timeout: float, on_answer: Any
     ) -> None:
         if message.which() != "groupFact":
             return
         body = {"names": self.names, "complete": True}
         answer = new_envelope()
         answer.init("groupFact").record = orjson.dumps(body)
-        answered(answer)
+        on_answer(answer)
 
 
 class Clock:
-    """A reactor that runs at once what is to come within a second."""
+    """A reactor that runs callbacks with a delay below 0.1 s at once."""
 
     def now(self) -> float:
         return 0.0
 
-    def call_later(self, seconds: float, work: Any) -> None:
+    def call_later(self, seconds: float, callback: Any) -> None:
         if seconds < 0.1:
-            work()
+            callback()
 
 
 @given("an entry-only process with {count:d} VMs on its list")
@@ -548,9 +552,9 @@
 @then("it asks for each group at the holders that the VMs choose")
 def then_same_holders(context: Any) -> None:
     names = context.peers.names
-    theirs = Placement(context.listed, names)
-    plain = Placement(context.listed)
-    moved = [n for n in names if theirs.holders(n) != plain.holders(n)]
-    assert moved, "all groups are where they would be alone"
+    expected = Placement(context.listed, names)
+    unbalanced = Placement(context.listed)
+    moved = [n for n in names if expected.holders(n) != unbalanced.holders(n)]
+    assert moved, "balancing moved no group"
     for name in names:
-        assert context.placement.holders(name) == theirs.holders(name), name
+        assert context.placement.holders(name) == expected.holders(name), name
--- a/features/steps/promotion_faults.py
+++ b/features/steps/promotion_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the exploration of primary changes must find, by name."""
+"""Seeded faults that the exploration of primary changes must find, by name."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 def _skip_fence(change: PrimaryChange, now: float) -> list[Any]:
-    """Promote by what was probed; stop only the one that is promoted."""
+    """Promote by the probes; fence only the promoted target."""
     assert change._update is not None
     change.term = change._update.value["term"]
-    change._enter(ChangePhase.FENCE, now)
+    change._enter_phase(ChangePhase.FENCE, now)
     best = max(
         change._probes, key=lambda n: primary_change.log_end(change._probes[n])
     )
     change._majority = lambda: 1  # type: ignore[method-assign]
     target = change._targets[best]
-    return [change._order(OrderKind.FENCE, target, now, change.term)]
+    return [change._make_order(OrderKind.FENCE, target, now, change.term)]
 
 
-def _stopped_minority(
+def _fence_minority(
     change: PrimaryChange,
     name: str,
     accepted: bool,
@@ -47,7 +47,7 @@
         return change._promote(now)
 
 
-def _choose_first(
+def _promote_first(
     fenced: dict[str, ProbeResult], *rest: Any, **more: Any
 ) -> str:
     return next(iter(fenced))
@@ -59,13 +59,18 @@
 
 
 def _promote_another(change: PrimaryChange, now: float) -> list[Any]:
-    if change.phase is ChangePhase.PROMOTE and now - change._phase_at > 0.25:
+    if (
+        change.phase is ChangePhase.PROMOTE
+        and now - change._phase_started_at > 0.25
+    ):
         others = [n for n in change._fenced if n != change.primary]
         if others:
             change.primary = others[0]
-            change._enter(ChangePhase.PROMOTE, now)
+            change._enter_phase(ChangePhase.PROMOTE, now)
             target = change._targets[others[0]]
-            return [change._order(OrderKind.PROMOTE, target, now, change.term)]
+            return [
+                change._make_order(OrderKind.PROMOTE, target, now, change.term)
+            ]
     return _TICK(change, now)
 
 
@@ -85,19 +90,19 @@
 
 
 _TICK = PrimaryChange.tick
-_RESOLVE = PrimaryChange._resolve
+_RESOLVE = PrimaryChange._resolve_update
 
 MUTATIONS: dict[str, tuple[Any, str, Any]] = {
-    "skip_fence": (PrimaryChange, "_won", _skip_fence),
+    "skip_fence": (PrimaryChange, "_on_term_won", _skip_fence),
     "promote_with_minority_fenced": (
         PrimaryChange,
-        "_stopped",
-        _stopped_minority,
+        "_on_fence_answer",
+        _fence_minority,
     ),
     "promote_first_that_answers": (
         primary_change,
         "choose_primary",
-        _choose_first,
+        _promote_first,
     ),
     "trust_unanswered_update": (
         PrimaryChange,
@@ -107,7 +112,7 @@
     "promote_another_at_same_term": (PrimaryChange, "tick", _promote_another),
     "take_other_stewards_term_for_own": (
         PrimaryChange,
-        "_resolve",
+        "_resolve_update",
         _ignore_nonce,
     ),
     "acknowledge_without_majority": (
--- a/features/steps/promotion_machine.py
+++ b/features/steps/promotion_machine.py
@@ -1,20 +1,21 @@
 """Deterministic exploration of primary changes.
 
-The real controllers (`choose_plan`, `Change`, the rule of majority) run
-against small fakes of targets and platform. The machine decides the order in
-which messages arrive, which are lost, which updates land after their sender
-has given up, who is paused and which target is down. Both stewards lead all
-the time: that is worse than any lapse of a lease, so what holds here does not
-rest on leases. Those are explored in `lease_machine`. Checked:
+The real controllers (`choose_plan`, `PrimaryChange`, the rule of majority) run
+against fakes of targets and platform. The machine decides the order in which
+messages arrive, which are lost, which updates take effect after their sender
+has timed out, which steward is paused and which target is down. Both stewards
+lead all the time, which is worse than any failure of leases, so the checked
+properties do not depend on leases. Leases are explored in `lease_machine`.
+Checked:
 
 - at most one target was ever promoted at a term;
-- every acknowledged write is in the log of each later primary, whichever of
-  the two came first;
-- no write is acknowledged by a holder that knows of a later term.
+- every acknowledged write is in the log of each later primary, whether it was
+  acknowledged before or after the promotion;
+- no write is acknowledged by a holder that knows a later term.
 
-`promotion_faults` lists the faults that it must catch;
-features/exploration.feature runs each. Long runs by hand, from the root of
-the repository:
+`promotion_faults` lists the faults that the exploration must find;
+features/exploration.feature runs each. Commands for longer runs, from the root
+of the repository:
 
     BAMBOOSPRING_EXAMPLES=5000 behave features/exploration.feature
     BAMBOOSPRING_EXAMPLES=5000 behave features/exploration.feature \
@@ -54,7 +55,7 @@
 
 
 class PromotionMachine(RuleBasedStateMachine):
-    """Interleave everything that can happen to one group."""
+    """Interleave the events of one group."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -85,7 +86,7 @@
         self.world.messages.remove(message)
         return message
 
-    # The network.
+    # Network.
 
     @rule(count=st.integers(1, 30))
     def deliver_in_order(self, count: int) -> None:
@@ -109,7 +110,7 @@
 
     @rule(pick=PICK)
     def give_up_early(self, pick: int) -> None:
-        """The sender gives up; the message still arrives some time."""
+        """Time out at the sender; the message still arrives later."""
         found = self._deliverable()
         if found:
             found[pick % len(found)].give_up()
@@ -121,18 +122,18 @@
             steward.tick()
 
     @rule(rounds=st.integers(1, 6))
-    def run_smoothly(self, rounds: int) -> None:
+    def run_without_faults(self, rounds: int) -> None:
         for _ in range(rounds):
             self.wait(0.1)
             self.deliver_in_order(30)
 
     @initialize(behind=st.sampled_from(NAMES))
     def set_up(self, behind: str) -> None:
-        """Have a primary and an acknowledged write that one may lack."""
-        self.run_smoothly(8)
+        """Create a primary and an acknowledged write that one may lack."""
+        self.run_without_faults(8)
         self.judge(0, False)
         self.judge(1, False)
-        self.run_smoothly(6)
+        self.run_without_faults(6)
         for name in NAMES:
             self.world.targets[name].pull(5)
         self.learn_record(0)
@@ -145,7 +146,7 @@
 
     @rule(chances=st.randoms(use_true_random=False))
     def run_in_disorder(self, chances: Random) -> None:
-        """Let much happen in any order, with losses now and then."""
+        """Run many events in any order, with occasional losses."""
         for _ in range(40):
             self._disorder(chances)
 
@@ -175,7 +176,7 @@
 
     @rule(chances=st.randoms(use_true_random=False))
     def change_under_load(self, chances: Random) -> None:
-        """Take a working primary for failed while it is written to."""
+        """Treat a working primary as failed while it receives writes."""
         for name in NAMES:
             self.world.targets[name].up = True
         self.judge(0, True)
@@ -199,9 +200,9 @@
 
     @rule(chances=st.randoms(use_true_random=False))
     def pause_leader_halfway(self, chances: Random) -> None:
-        """Let one steward lead, hold up what it sent, and run the other.
+        """Delay the messages of one steward and run the other.
 
-        The first one wakes and its messages arrive while the second leads.
+        The first one resumes and its messages arrive while the second leads.
         """
         first, second = self.stewards
         if chances.random() < 0.5:
@@ -219,26 +220,26 @@
 
     @rule(chances=st.randoms(use_true_random=False))
     def race_for_a_term(self, chances: Random) -> None:
-        """Let both stewards ask for the same term; both or none is answered.
+        """Let both stewards request the same term; answer both or none.
 
-        Each goes on while another target is away, so that the two would
-        choose differently; what was not answered arrives at the end.
+        Each continues while a different target is down, so that the two would
+        choose differently; unanswered requests arrive at the end.
         """
         self.world.messages.clear()
         held = []
         for steward in self.stewards:
-            self._all_up_but("")
+            self._all_up_except("")
             steward.restart()
             steward.paused = False
             steward.judge(True)
-            while steward.probes() and self.world.messages:
+            while steward.is_probing() and self.world.messages:
                 self.deliver_in_order(1)
             held.append(self.world.messages[:])
             self.world.messages.clear()
         late = []
         answered = chances.random() < 0.5
         for asked in held:
-            self._all_up_but(chances.choice(NAMES))
+            self._all_up_except(chances.choice(NAMES))
             for message in asked:
                 if answered:
                     message.deliver()
@@ -248,12 +249,12 @@
             self._deliver_until_promoted(chances)
             late += self.world.messages
             self.world.messages.clear()
-        self._all_up_but("")
+        self._all_up_except("")
         self.world.messages += late
         self._deliver_some(chances, 60)
 
     def _deliver_until_promoted(self, chances: Random) -> None:
-        """Stop at the promotion: what follows it must not hide a second."""
+        """Stop at the promotion: later messages must not hide a second one."""
         known = len(self.world.promoted)
         for _ in range(40):
             if len(self.world.promoted) > known:
@@ -262,12 +263,12 @@
             if chances.random() < 0.2:
                 self.wait(0.06)
 
-    def _all_up_but(self, away: str) -> None:
+    def _all_up_except(self, down: str) -> None:
         for name in NAMES:
-            self.world.targets[name].up = name != away
+            self.world.targets[name].up = name != down
 
-    def _deliver_some(self, chances: Random, most: int) -> None:
-        for _ in range(chances.randrange(most)):
+    def _deliver_some(self, chances: Random, limit: int) -> None:
+        for _ in range(chances.randrange(limit)):
             pick = chances.randrange(1000)
             match chances.randrange(12):
                 case 0:
@@ -281,7 +282,7 @@
 
     @rule(chances=st.randoms(use_true_random=False))
     def return_with_tail(self, chances: Random) -> None:
-        """Let an old primary come back with entries that nobody else has."""
+        """Let an old primary return with entries that no other target has."""
         for name in NAMES:
             self.world.targets[name].up = True
         self.learn_record(0)
@@ -290,7 +291,7 @@
         leader = self.stewards[0]
         leader.paused = False
         leader.judge(True)
-        self.run_smoothly(4)
+        self.run_without_faults(4)
         self.learn_record(0)
         self.write(0)
         for _ in range(chances.randrange(8)):
@@ -304,7 +305,7 @@
         which=st.sampled_from(NAMES), chances=st.randoms(use_true_random=False)
     )
     def fail_primary(self, which: str, chances: Random) -> None:
-        """Stop one target and let the stewards find out."""
+        """Stop one target and let the stewards detect it."""
         for name in NAMES:
             self.world.targets[name].up = name != which
         leader = chances.choice(self.stewards)
@@ -318,12 +319,12 @@
 
     # Stewards.
 
-    @rule(which=st.integers(0, 1), condemned=st.booleans())
-    def judge(self, which: int, condemned: bool) -> None:
-        self.stewards[which].judge(condemned)
+    @rule(which=st.integers(0, 1), primary_failed=st.booleans())
+    def judge(self, which: int, primary_failed: bool) -> None:
+        self.stewards[which].judge(primary_failed)
 
     @rule(which=st.integers(0, 1))
-    def pause_or_wake(self, which: int) -> None:
+    def pause_or_resume(self, which: int) -> None:
         steward = self.stewards[which]
         steward.paused = not steward.paused
 
@@ -400,7 +401,7 @@
 
 
 def explore(mutation: str = "", *, examples: int, steps: int = 60) -> None:
-    """Run the machine; raises AssertionError when an invariant breaks."""
+    """Run the machine; raise AssertionError if an invariant is violated."""
     found = settings(
         max_examples=examples,
         stateful_step_count=steps,
--- a/features/steps/promotion_world.py
+++ b/features/steps/promotion_world.py
@@ -1,7 +1,8 @@
-"""The world of the exploration of primary changes: fakes without any I/O.
+"""The simulated environment of the exploration of primary changes.
 
-Targets, the platform's object, what is on its way, stewards that run the real
-`choose_plan` and `Change`, and holders with their late view of the group.
+It consists of fakes without I/O: targets, the platform's object, messages in
+flight, stewards that run the real `choose_plan` and `PrimaryChange`, and
+holders with their delayed view of the group.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 
 class World:
-    """Time, the platform's objects, and what is on its way."""
+    """Time, the platform's objects and the messages in flight."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -74,19 +75,21 @@
         self.objects[kind] = (version + 1, value)
         return True
 
-    def note_promotion(self, target: FakeTarget) -> None:
+    def record_promotion(self, target: FakeTarget) -> None:
         other = self.promoted.setdefault(target.term, target.name)
         assert other == target.name, f"two primaries at {target.term}"
         self.logs_at_promotion[target.term] = list(target.log)
         for position, value in self.acked:
-            self.check_kept(position, value, target.term)
+            self.check_retained(position, value, target.term)
 
     def ack(self, position: Position, value: str) -> None:
         self.acked.append((position, value))
         for term in self.promoted:
-            self.check_kept(position, value, term)
+            self.check_retained(position, value, term)
 
-    def check_kept(self, position: Position, value: str, term: int) -> None:
+    def check_retained(
+        self, position: Position, value: str, term: int
+    ) -> None:
         if term <= position.term:
             return
         log = self.logs_at_promotion[term]
@@ -98,7 +101,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Message:
-    """One leg of an exchange; `give_up` tells the sender of its loss."""
+    """A request or an answer; `give_up` reports its loss to the sender."""
 
     deliver: Callable[[], None]
     give_up: Callable[[], None]
@@ -107,7 +110,7 @@
 
 
 class FakeTarget:
-    """The rules of a target, without any I/O."""
+    """A target without I/O."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world = world
@@ -142,7 +145,7 @@
             case OrderKind.PROMOTE:
                 return self._promote(order.term)
             case OrderKind.FOLLOW:
-                return self._follow(order.term, order.primary)
+                return self._follow(order.term, order.primary_address)
             case OrderKind.PAUSE | OrderKind.RESUME:
                 return self.role is Role.PRIMARY and self.term == order.term
         return True
@@ -157,7 +160,7 @@
             return False
         if self.role is Role.FENCED:
             self.role = Role.PRIMARY
-            self.world.note_promotion(self)
+            self.world.record_promotion(self)
             self.log.append((term, "open"))
         return True
 
@@ -170,7 +173,7 @@
         return True
 
     def pull(self, count: int) -> None:
-        """Take up to `count` entries from the primary that is followed."""
+        """Receive up to `count` entries from the followed primary."""
         source = self.world.targets.get(self.primary)
         if self.role is not Role.REPLICA or source is None:
             return
@@ -178,18 +181,18 @@
             return
         if not (self.up and source.up):
             return
-        same = 0
+        common = 0
         for mine, theirs in zip(self.log, source.log, strict=False):
             if mine != theirs:
                 break
-            same += 1
-        fresh = source.log[same : same + count]
+            common += 1
+        fresh = source.log[common : common + count]
         if fresh:
-            self.log = self.log[:same] + fresh
+            self.log = self.log[:common] + fresh
 
 
 class SimSteward:
-    """One VM that leads: at most one change at a time."""
+    """One VM that leads, with at most one change at a time."""
 
     def __init__(self, world: World, vm: str) -> None:
         self.world = world
@@ -200,15 +203,15 @@
         self.change: PrimaryChange | None = None
 
     def restart(self) -> None:
-        """Forget everything, as a process that was started anew."""
+        """Drop all state, as after a restart of the process."""
         self.runs += 1
         self.change = None
 
     def now(self) -> float:
         return self.world.now
 
-    def probes(self) -> bool:
-        """Tell whether a change has begun and not yet asked for a term."""
+    def is_probing(self) -> bool:
+        """Return whether a change has begun and not yet requested a term."""
         change = self.change
         return change is not None and change.phase is ChangePhase.PROBE
 
@@ -216,8 +219,8 @@
         if not self.paused and self.change is not None:
             self._apply(self.change, self.change.tick(self.now()))
 
-    def judge(self, condemned: bool) -> None:
-        """Begin a change if the policy asks for one."""
+    def judge(self, primary_failed: bool) -> None:
+        """Start a change if the policy returns a plan."""
         if self.paused or self.change is not None:
             return
         version, value = self.world.objects["group"]
@@ -227,8 +230,8 @@
             record=record,
             row=TableRow(group="g"),
             probes={},
-            condemned=condemned,
-            insist=True,
+            primary_failed=primary_failed,
+            ignore_primary_answer=True,
         )
         plan = choose_plan(view)
         if plan is None:
@@ -260,7 +263,7 @@
         answer: Callable[[Any], None],
         lost: Callable[[], None],
     ) -> None:
-        """Send a request whose effect and whose answer arrive on their own."""
+        """Send a request whose effect and answer occur independently."""
         run = self.runs
         done: list[bool] = []
 
@@ -336,7 +339,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class SimHolder:
-    """A holder: its own late view of the group, and writes that wait."""
+    """A holder: its delayed view of the group, and its pending writes."""
 
     group: Group
     waiting: list[tuple[Position, str]] = field(default_factory=list)
--- a/features/steps/regions_steps.py
+++ b/features/steps/regions_steps.py
@@ -31,8 +31,8 @@
 FAR_VMS = ("vm-4", "vm-5", "vm-6")
 FAR_ROWS = 1_000_000
 PROBE_ROWS = 2_000_000
-# Far above the silence that is waited for: who is answered before it ends
-# was refused, not timed out.
+# Much longer than the time without answers that the test waits for, so that an
+# answer within it is a refusal and not a timeout.
 DEADLINE_MS = 20_000
 DIRECTIONS = {
     "everything": ("both", "both"),
@@ -44,10 +44,10 @@
 @given("two regions under writes, the primary is {place}")
 def two_regions(context: Any, place: str) -> None:
     # The fleet makes the first member primary.
-    away = f"{GROUP}-m1" if place == "far" else f"{GROUP}-m3"
-    fleet = start_fleet(context, vms=6, remote_names=(*FAR_VMS, away))
+    far_target = f"{GROUP}-m1" if place == "far" else f"{GROUP}-m3"
+    fleet = start_fleet(context, vms=6, remote_names=(*FAR_VMS, far_target))
     context.primary = fleet.primary(GROUP)
-    context.far_target = away
+    context.far_target = far_target
     context.rows = itertools.count(PROBE_ROWS)
     context.not_run = set()
     wait_until(leader_of(context), seconds=20, what="a steward")
@@ -75,18 +75,20 @@
 
 
 def set_links(context: Any, mode: str, lost: str) -> None:
-    """Set all links between the regions, as seen by who connects."""
+    """Set all links between the regions, from the connecting side."""
     fleet = context.fleet
     by_far, by_near = DIRECTIONS[lost]
-    places = {f"target:{name}": name for name in fleet.targets}
-    places |= {f"peers:{name}": name for name in fleet.vms}
-    for link, name in places.items():
-        away = name in fleet.topology.remote_names
+    links = {f"target:{name}": name for name in fleet.targets}
+    links |= {f"peers:{name}": name for name in fleet.vms}
+    for link, name in links.items():
+        is_remote = name in fleet.topology.remote_names
         fleet.set_link_mode(
             link,
             mode,
-            direction=by_near if away else by_far,
-            source=LOCAL_REGION_ADDRESS if away else REMOTE_REGION_ADDRESS,
+            direction=by_near if is_remote else by_far,
+            source=(
+                LOCAL_REGION_ADDRESS if is_remote else REMOTE_REGION_ADDRESS
+            ),
         )
     for name in FAR_VMS:
         fleet.set_link_mode(f"platform:{name}", mode, direction=by_far)
@@ -154,7 +156,7 @@
 
 
 def refuses(context: Any, caller: Caller) -> bool:
-    """Write once; the first ones may be on their way when the links go."""
+    """Write once; the first writes may be in flight when the links fail."""
     row = next(context.rows)
     answer = caller.write(GROUP, WRITE, [row])
     assert answer.outcome in ("not_run", "unknown"), answer
@@ -179,7 +181,7 @@
     def follows() -> bool:
         return context.fleet.probe(context.far_target)["term"] == 2
 
-    wait_until(follows, seconds=20, what="the old primary to be told")
+    wait_until(follows, seconds=20, what="the old primary to follow")
     for vm in FAR_VMS:
         reader = caller_at(context.fleet, vm, deadline_ms=500)
         answer = reader.read(GROUP, "SELECT 1", staleness_ms=120_000)
@@ -230,7 +232,7 @@
     wait_level(context, names)
     for name in names:
         stored = stored_rows(context, name)
-        assert not stored & context.not_run, "told not run, but there"
+        assert not stored & context.not_run, "reported as not run, but stored"
         context.near.check({row for row in stored if row < FAR_ROWS})
         context.far.check(
             {row for row in stored if FAR_ROWS <= row < PROBE_ROWS}
--- a/features/steps/target_polls_steps.py
+++ b/features/steps/target_polls_steps.py
@@ -28,7 +28,7 @@
 
 WAIT_MS = 150
 STATE = "00ff00ff00ff00ff"
-ACCOUNT = {
+REPORT = {
     "target": "m1",
     "term": 3,
     "role": "primary",
@@ -41,7 +41,7 @@
 }
 
 
-# The stand-in, as a real process.
+# The simulated target, as a real process
 
 
 def poll(context: Any, name: str, state: str) -> tuple[int, bytes]:
@@ -69,9 +69,9 @@
 def then_body(context: Any, name: str) -> None:
     status, body = poll(context, name, context.state_before)
     assert status == 200, status
-    account = orjson.loads(body)
-    assert account["state"] != context.state_before, account
-    context.state_before = account["state"]
+    report = orjson.loads(body)
+    assert report["state"] != context.state_before, report
+    context.state_before = report["state"]
 
 
 @then("a poll of {name} that names a state of another target gets a body")
@@ -92,24 +92,29 @@
     assert found["status"] == 200, found
 
 
-# The holder, over fakes.
+# The holder, with fake connections
 
 
 class FakeClient:
-    """Records requests; the test answers them."""
+    """Records requests, which the test answers."""
 
     def __init__(self, **_: Any) -> None:
         self.paths: list[str] = []
         self.on_answer: Any = None
 
     def request(
-        self, _method: str, path: str, _body: bytes, _wait: float, on: Any
+        self,
+        _method: str,
+        path: str,
+        _body: bytes,
+        _wait: float,
+        on_answer: Any,
     ) -> None:
         self.paths.append(path)
-        self.on_answer = on
+        self.on_answer = on_answer
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing."""
 
 
 def answer(context: Any, status: int, body: bytes = b"") -> None:
@@ -124,9 +129,11 @@
         now=lambda: context.now,
         call_later=lambda wait, call: context.later.append(call),
     )
-    me = Vm(name="vm-1", address="127.0.0.1:2", availability_zone="zone-a")
-    board = Blackboard(local_vm=me)
-    placement = Placement([me])
+    local_vm = Vm(
+        name="vm-1", address="127.0.0.1:2", availability_zone="zone-a"
+    )
+    board = Blackboard(local_vm=local_vm)
+    placement = Placement([local_vm])
     target = Target(
         name="m1",
         address="127.0.0.1:1",
@@ -152,18 +159,18 @@
         context.watcher = TargetWatcher(
             reactor=reactor, board=board, placement=placement
         )
-        context.watcher._follow("ledger")
+        context.watcher._update_group("ledger")
     assert context.client.paths == ["/probe"]
 
 
-@when("the primary gives its account with a state")
-def when_account(context: Any) -> None:
-    answer(context, 200, orjson.dumps({**ACCOUNT, "state": STATE}))
+@when("the primary sends its report with a state")
+def when_report(context: Any) -> None:
+    answer(context, 200, orjson.dumps({**REPORT, "state": STATE}))
 
 
-@when("the primary gives its account without a state")
-def when_old_account(context: Any) -> None:
-    answer(context, 200, orjson.dumps(ACCOUNT))
+@when("the primary sends its report without a state")
+def when_report_without_state(context: Any) -> None:
+    answer(context, 200, orjson.dumps(REPORT))
 
 
 @when("{count:d} polls are answered without a body, {gap:d} ms apart")
@@ -182,22 +189,22 @@
     assert set(polls) == {wanted}, polls
 
 
-@then("the primary was heard at the last of them, with its positions")
-def then_heard(context: Any) -> None:
+@then("the last of them counts as an answer, with its positions")
+def then_answered(context: Any) -> None:
     state = context.group.state("m1")
     assert state.last_response_at == context.now, state
     assert (state.received, state.applied) == (120, 110), state
 
 
-@then("its data counts as that of the last question")
+@then("its data counts as that of the last poll")
 def then_fresh(context: Any) -> None:
-    seen_at, received = context.watcher._watched["ledger"].sightings[-1]
-    assert (seen_at, received) == (context.asked_at, 120), seen_at
+    sampled_at, received = context.watcher._watched["ledger"].samples[-1]
+    assert (sampled_at, received) == (context.asked_at, 120), sampled_at
 
 
 @when("the connection is lost and the next answer has no body")
 def when_lost(context: Any) -> None:
-    context.heard_at = context.now
+    context.answered_at = context.now
     context.now += 1.0
     context.client.on_answer(HttpLost(sent=True, reason="closed"))
     context.later.pop()()
@@ -205,18 +212,18 @@
     answer(context, 204)
 
 
-@then("the primary was not heard again")
-def then_not_heard(context: Any) -> None:
-    assert context.group.state("m1").last_response_at == context.heard_at
+@then("the primary counts as not having answered again")
+def then_not_answered(context: Any) -> None:
+    assert context.group.state("m1").last_response_at == context.answered_at
 
 
-@then("the next question names nothing")
+@then("the next request names no state")
 def then_plain(context: Any) -> None:
     context.later.pop()()
     assert context.client.paths[-2:] == ["/probe", "/probe"]
 
 
-@then("the next question names its positions and waits")
+@then("the next request names its positions and waits")
 def then_positions(context: Any) -> None:
     wanted = (
         "/positions?received=120&applied=110&term=3&role=primary"
@@ -225,17 +232,17 @@
     assert context.client.paths[-1] == wanted, context.client.paths
 
 
-# The steward's probes.
+# The steward's probes
 
 
-@given("a steward that heard nothing of the target before")
-def given_unheard(context: Any) -> None:
+@given("a steward that has no report of the target")
+def given_no_report(context: Any) -> None:
     context.known = None
 
 
-@given("a steward that heard an account of the target before")
-def given_heard(context: Any) -> None:
-    context.known = decode_probe(orjson.dumps({**ACCOUNT, "state": STATE}))
+@given("a steward that has a report of the target")
+def given_report(context: Any) -> None:
+    context.known = decode_probe(orjson.dumps({**REPORT, "state": STATE}))
 
 
 @when("it probes the target and gets no body")
@@ -250,7 +257,9 @@
         slots=3,
         connections=20,
     )
-    order = Order(kind=OrderKind.PROBE, target=target, known=context.known)
+    order = Order(
+        kind=OrderKind.PROBE, target=target, known_probe=context.known
+    )
     with mock.patch.object(
         target_orders, "HttpClient", lambda **_: context.client
     ):
@@ -265,11 +274,11 @@
     assert context.client.paths == [path], context.client.paths
 
 
-@then("the answer counts as no word at all")
-def then_no_word(context: Any) -> None:
+@then("the answer counts as no report at all")
+def then_no_report(context: Any) -> None:
     assert context.told == [(False, None)], context.told
 
 
-@then("the answer counts as the account before")
-def then_account(context: Any) -> None:
+@then("the answer counts as the same report")
+def then_same_report(context: Any) -> None:
     assert context.told == [(True, context.known)], context.told
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -508,7 +508,7 @@
         )
         # Lanes make their connections with their first call.
         for purpose in ("records", "catalog"):
-            context.client._lane(purpose)
+            context.client._queue_of(purpose)
     for _ in range(8):
         context.client.list("groups", "records", lambda result: None)
         context.clock.run_until(context.clock.now() + 0.1)
