--- a/features/target_polls.feature
+++ b/features/target_polls.feature
@@ -1,11 +1,13 @@
 Feature: Polls of targets on which nothing has changed cost little
   A holder names the state that it knows; a target that still has it answers
-  without a body. Silence, ages and positions must be known as before.
+  without a body. Failure detection, data ages and positions must be the same
+  as with a body.
 
-  # The caller reads its own write at a replica and gets data of before it, or
-  # waits for a majority that is long there, if a target said "nothing new"
-  # although something was. A write, a fence and a new role come one after the
-  # other, and each must be told at once to one who named the state before it.
+  # If a target reported no change although there was one, a caller that reads
+  # its own write at a replica would get older data, or a write would wait
+  # although a majority holds it. A write, a fence and a new role follow one
+  # another, and each must be reported at once to a poll that names the state
+  # before it.
   Scenario: A target says that nothing is new only while nothing is
     Given target members a1, a2 and a3 with a1 as primary at term 1
     Then a poll of a1 that names its state is answered late and without a body
@@ -15,46 +17,46 @@
     Then a poll of a1 that names the state before is answered with a body
     And a poll of a1 that names a state of another target gets a body
 
-  # The caller's reads all go to the primary, and its writes wait, if answers
-  # without a body did not count as hearing the target: it would be taken for
-  # silent although it answers each poll.
+  # If answers without a body did not count, the target would be treated as
+  # unresponsive although it answers each poll: all reads would go to the
+  # primary and writes would wait.
   Scenario: An answer without a body is a sighting of the target
     Given a holder that watches a primary over fake connections
-    When the primary gives its account with a state
+    When the primary sends its report with a state
     And 20 polls are answered without a body, 400 ms apart
     Then each of those polls named the state
-    And the primary was heard at the last of them, with its positions
-    And its data counts as that of the last question
+    And the last of them counts as an answer, with its positions
+    And its data counts as that of the last poll
 
-  # A target restarts behind the same address, and what answers first knows
-  # nothing of what we named: no body there is no account. Taken for one, the
-  # positions of the process before would count as this one's.
+  # A target restarts behind the same address. An answer without a body to a
+  # request that named no state is no report: treated as one, the positions of
+  # the previous process would count as those of the new one.
   Scenario: No body where nothing was named is a failure
     Given a holder that watches a primary over fake connections
-    When the primary gives its account with a state
+    When the primary sends its report with a state
     And the connection is lost and the next answer has no body
-    Then the primary was not heard again
-    And the next question names nothing
+    Then the primary counts as not having answered again
+    And the next request names no state
 
-  # Targets and proxies are not upgraded together. One that names no state
-  # must be asked as before: with nothing named it would answer each poll at
-  # once, and be asked again without a pause.
+  # Targets and proxies are not upgraded together. A target whose reports have
+  # no state must be polled by its positions: without them it would answer each
+  # poll at once and be polled again without a pause.
   Scenario: A target that names no state is asked by its positions
     Given a holder that watches a primary over fake connections
-    When the primary gives its account without a state
-    Then the next question names its positions and waits
+    When the primary sends its report without a state
+    Then the next request names its positions and waits
 
-  # A steward leads by what targets said last. If "as before" from one that was
-  # never heard counted as a word, it would promote by positions that nobody
-  # has told; if it did not count from one that was heard, each round would
-  # make healthy targets look lost.
+  # A steward decides by the targets' last reports. If an answer without a body
+  # of a target that has never reported counted, it would promote by positions
+  # that were never reported. If it did not count for a target that has
+  # reported, each probe round would make healthy targets appear lost.
   Scenario Outline: A steward's round to a target that says "as before"
-    Given a steward that <heard> of the target before
+    Given a steward that <has> of the target
     When it probes the target and gets no body
     Then the probe asked for <path>
-    And the answer counts as <word>
+    And the answer counts as <report>
 
     Examples:
-      | heard              | path                                     | word                |
-      | heard nothing      | /probe                                   | no word at all      |
-      | heard an account   | /positions?seen=00ff00ff00ff00ff&wait_ms=0 | the account before  |
+      | has              | path                                       | report           |
+      | has no report    | /probe                                     | no report at all |
+      | has a report     | /positions?seen=00ff00ff00ff00ff&wait_ms=0 | the same report  |
