--- a/bamboospring/platform/__init__.py
+++ b/bamboospring/platform/__init__.py
@@ -1,8 +1,10 @@
-"""The users' platform: its names, formats and calls, and nothing that decides.
+"""Adapters for the users' platform: its names, wire formats and calls.
 
-`lines` holds the format that callers and targets share, `caller_lines` and
-`target_lines` translate the two sides, `store` speaks with the platform's
-object store, `entries` reads what others write there, `orders` has targets
-promoted, and `__main__` starts a VM with the settings that the platform
-rendered. Nothing outside this package knows any name that is used here.
+The package contains no decision logic. `line_protocol` defines the format
+that callers and targets share, `caller_server` and `target_dialer` implement
+the two sides of it, `store_dialect` calls the platform's object store,
+`store_objects` decodes the objects that operators and targets write there,
+`promotion_client` asks the platform to promote a target, and `__main__`
+starts a VM with the settings file that the platform generated. Code outside
+this package does not depend on the names that the platform uses.
 """
--- a/bamboospring/platform/__main__.py
+++ b/bamboospring/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Start a VM with the settings that the platform has rendered."""
+"""Start a VM with the settings file that the platform generated."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 __all__ = ["main"]
 
-# Where the platform says where the settings are.
-VARIABLE = "BAMBOOSPRING_SETTINGS"
-MISUSED = 2
+# The environment variable that holds the path of the settings file.
+SETTINGS_VARIABLE = "BAMBOOSPRING_SETTINGS"
+EXIT_MISUSED = 2
 
 
 def main() -> int:
-    """Serve until told to stop; returns the exit code."""
+    """Run the VM until it is asked to stop and return the exit code."""
     try:
-        run(os.environ.get(VARIABLE, ""))
+        run(os.environ.get(SETTINGS_VARIABLE, ""))
     except BamboospringError as exc:
         print(f"bamboospring: {exc}", file=sys.stderr)
-        return MISUSED
+        return EXIT_MISUSED
     return 0
 
 
 def run(path: str) -> None:
-    """Serve with the settings in a file."""
+    """Run the VM with the settings in a file."""
     cfg = load(path)
     logs.configure_node(level=cfg.logs.level, vm=cfg.vm)
     try:
--- a/bamboospring/platform/adapters.py
+++ b/bamboospring/platform/adapters.py
@@ -1,4 +1,4 @@
-"""The adapters of this platform, as a VM that serves sessions takes them."""
+"""Builds the platform adapters for a VM that serves sessions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_adapters() -> PlatformAdapters:
-    """Return the adapters."""
+    """Return the adapters for the users' platform."""
     return PlatformAdapters(
         dialect=StoreDialect(),
         catalog_kind=CATALOG_KIND,
@@ -33,7 +33,7 @@
         read_catalog=read_catalog,
         read_target=read_target,
         make_dialer=_make_dialer,
-        make_orders=_make_orders,
+        make_orders=_make_promotion_client,
         make_listener=_make_listener,
     )
 
@@ -42,7 +42,7 @@
     return LineDialer(reactor=reactor, target=target, service=group)
 
 
-def _make_orders(reactor: Reactor, address: str) -> PromotionClient:
+def _make_promotion_client(reactor: Reactor, address: str) -> PromotionClient:
     return PromotionClient(reactor=reactor, address=address)
 
 
--- a/bamboospring/platform/caller_server.py
+++ b/bamboospring/platform/caller_server.py
@@ -1,4 +1,4 @@
-"""Speak with callers: read their lines, write their answers."""
+"""The server side of the line protocol: parses requests, sends answers."""
 
 from __future__ import annotations
 
@@ -41,17 +41,18 @@
 
 __all__ = ["CallerServer", "parse_statement"]
 
-# Seconds in which a connection must have named its database.
-OPENING_TIMEOUT = 10.0
+# Seconds within which a new connection must have opened a session.
+OPEN_TIMEOUT = 10.0
 
-STATES = {
+STATE_CODES = {
     SessionState.IDLE: "I",
     SessionState.OPEN: "T",
     SessionState.FAILED: "E",
 }
 
-# The code for each reason. All of a `NotRun` or `Overloaded` promise that
-# nothing of the attempt is kept; those of `Unknown` promise nothing.
+# The error code for each reason. The codes of `NotRun` and `Overloaded`
+# guarantee that no effect of the attempt is kept; those of `Unknown`
+# guarantee nothing.
 NOT_RUN_CODES = {
     Reason.UNKNOWN_GROUP: "NODATABASE",
     Reason.UNKNOWN_KEY: "AUTHFAIL",
@@ -70,9 +71,9 @@
 
 
 def parse_statement(text: str) -> SessionStatement:
-    """Read the text of a query."""
-    word, _, rest = text.partition(" ")
-    match word:
+    """Parse the text of a query."""
+    keyword, _, rest = text.partition(" ")
+    match keyword:
         case "READ" if rest:
             return TextStatement(writes=False, text=text)
         case "WRITE" if rest:
@@ -90,29 +91,29 @@
             name, _, value = rest.partition(" ")
             return SetValue(name=name, value=value)
         case "PREPARE":
-            return _prepare(rest)
+            return _parse_prepare(rest)
         case "RELEASE" if rest:
             return Deallocate(name=rest)
         case _:
             return MalformedStatement(
-                message=f"unknown statement {word[:32]!r}"
+                message=f"unknown statement {keyword[:32]!r}"
             )
 
 
-def _prepare(rest: str) -> SessionStatement:
+def _parse_prepare(rest: str) -> SessionStatement:
     name, _, shape = rest.partition(" ")
     mode, _, text = shape.partition(" ")
     if not name or not text or mode not in ("READ", "WRITE"):
         return MalformedStatement(
-            message="PREPARE needs a name, READ|WRITE, a shape"
+            message="PREPARE requires a name, READ|WRITE, a shape"
         )
     return Prepare(name=name, shape=Shape(writes=mode == "WRITE", text=text))
 
 
 def encode_answer(answer: SessionAnswer) -> bytes:
-    """Return the bytes of an answer."""
+    """Return an answer in the wire format."""
     lines = _outcome_lines(answer.outcome)
-    state = STATES[answer.state]
+    state = STATE_CODES[answer.state]
     lines.append(f"READY {state} {format_position(answer.position)}\r\n")
     return "\r\n".join(lines).encode("latin-1", "replace")
 
@@ -133,11 +134,11 @@
             code = FAILED_CODES.get(reason, "FAILED")
         case Unknown(reason=reason):
             code = UNKNOWN_CODES.get(reason, "INDOUBT")
-    return [f"ERROR {code} {_explained(outcome, reason)}"]
+    return [f"ERROR {code} {_error_text(outcome, reason)}"]
 
 
-def _explained(outcome: SessionOutcome, reason: Reason) -> str:
-    """Return the reason, when to come back, and what else there is to say."""
+def _error_text(outcome: SessionOutcome, reason: Reason) -> str:
+    """Return the reason, the delay before a retry, and the message."""
     parts = [reason.value]
     retry_after_ms = getattr(outcome, "retry_after_ms", 0)
     if retry_after_ms:
@@ -149,10 +150,10 @@
 
 
 class CallerServer:
-    """Listens for callers and keeps a session for each connection.
+    """Accepts callers and keeps a session for each connection.
 
-    `admit` is asked for each database named, `make_session` makes the
-    session.
+    `admit` decides whether a session on a database may be opened, and
+    `make_session` creates it.
     """
 
     def __init__(
@@ -166,24 +167,28 @@
         self.reactor = reactor
         self.admit = admit
         self.make_session = make_session
-        self.callers: set[_Caller] = set()
-        self.numbers = itertools.count(1)
-        self.listener: Listener = reactor.listen(address, self._accepted)
+        self.connections: set[_CallerConnection] = set()
+        self.session_numbers = itertools.count(1)
+        self.listener: Listener = reactor.listen(address, self._handle_accept)
 
     def sessions(self) -> list[Session]:
-        """Return all sessions, those used last at the end."""
-        return [c.session for c in self.callers if c.session is not None]
+        """Return the sessions of all connections, in no particular order."""
+        return [c.session for c in self.connections if c.session is not None]
 
-    def _accepted(self, stream: Stream) -> None:
-        self.callers.add(_Caller(server=self, stream=stream))
+    def _handle_accept(self, stream: Stream) -> None:
+        self.connections.add(_CallerConnection(server=self, stream=stream))
 
 
-class _Caller:
-    """One connection of a caller."""
+class _CallerConnection:
+    """The connection of one caller.
+
+    `_early_lines` holds the lines that arrived before the opening of the
+    session was decided; it is None while no opening is pending.
+    """
 
     __slots__ = (
         "_buffer",
-        "_held",
+        "_early_lines",
         "_paused",
         "_server",
         "_stream",
@@ -196,117 +201,119 @@
         self._stream = stream
         self._buffer = LineDecoder()
         self._paused = False
-        self._held: list[str] | None = None
+        self._early_lines: list[str] | None = None
         self.session: Session | None = None
-        self._timer = server.reactor.call_later(OPENING_TIMEOUT, self.close)
-        stream.on_data = self._data
-        stream.on_close = self._closed
+        self._timer = server.reactor.call_later(OPEN_TIMEOUT, self.close)
+        stream.on_data = self._handle_data
+        stream.on_close = self._handle_close
 
     def answer(self, answer: SessionAnswer) -> None:
-        """Send the answer to the statement under way."""
+        """Send the answer to the current statement."""
         self._stream.send(encode_answer(answer))
         if self._paused and self.session and not self.session.is_backlog_full:
             self._paused = False
             self._stream.resume()
 
     def begin_refusal(self, refusal: NotRun) -> None:
-        """Send the beginning of an answer before anything was asked."""
+        """Send the error line of an answer to no statement."""
         lines = _outcome_lines(refusal)
         self._stream.send(f"{lines[0]}\r\n".encode("latin-1", "replace"))
 
     def finish_refusal(self, state: SessionState) -> None:
-        """Send the end of the answer that `dismiss` began."""
-        line = f"READY {STATES[state]} {format_position(None)}\r\n"
+        """Complete the answer that `begin_refusal` started."""
+        line = f"READY {STATE_CODES[state]} {format_position(None)}\r\n"
         self._stream.send(line.encode("latin-1", "replace"))
 
     def close(self) -> None:
-        """Close once all answers have been sent."""
+        """Close the connection once all answers have been sent."""
         self._stream.close()
 
-    def _data(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         try:
             lines = self._buffer.feed(data)
         except LineTooLong:
-            # Where the next message begins can't be known any more.
-            self._refuse("MALFORMED", "the message is too long")
+            # The start of the next message can no longer be determined.
+            self._reject("MALFORMED", "message exceeds the maximum size")
             return
         for line in lines:
             if self._stream.closed or self._stream.closing:
                 return
-            self._line(line)
+            self._handle_line(line)
         if self.session is not None and self.session.is_backlog_full:
             self._paused = True
             self._stream.pause()
 
-    def _line(self, line: str) -> None:
-        if self._held is not None:
-            # Sent ahead of the answer to the opening.
-            self._held.append(line)
+    def _handle_line(self, line: str) -> None:
+        if self._early_lines is not None:
+            # The caller did not wait for the answer to OPEN.
+            self._early_lines.append(line)
             return
-        word, _, rest = line.partition(" ")
-        if word == "CLOSE":
+        keyword, _, rest = line.partition(" ")
+        if keyword == "CLOSE":
             self.close()
-        elif word == "OPEN" and self.session is None:
+        elif keyword == "OPEN" and self.session is None:
             self._open(rest)
-        elif word == "QUERY" and self.session is not None:
+        elif keyword == "QUERY" and self.session is not None:
             id, _, text = rest.partition(" ")
             if not id:
-                self._refuse("MALFORMED", "a query needs an id and a text")
+                self._reject("MALFORMED", "QUERY requires an id and a text")
                 return
             self.session.submit(id, parse_statement(text))
         else:
-            self._refuse("MALFORMED", f"unexpected message {word[:32]!r}")
+            self._reject("MALFORMED", f"unexpected message {keyword[:32]!r}")
 
-    def _open(self, rest: str, held_since: float | None = None) -> None:
-        # The second word is the caller's key, or any word without one.
-        database, _, word = rest.partition(" ")
-        credential = key_digest(word.encode("latin-1", "replace"))
+    def _open(self, rest: str, pending_since: float | None = None) -> None:
+        # The second field is the caller's key. Where callers need no key it
+        # may be any word.
+        database, _, key = rest.partition(" ")
+        credential = key_digest(key.encode("latin-1", "replace"))
         reactor = self._server.reactor
-        since = reactor.now() if held_since is None else held_since
-        held_for = reactor.now() - since
-        refusal = self._server.admit(database, credential, held_for)
-        if isinstance(refusal, OpeningPending):
-            self._held = self._held or []
+        started_at = reactor.now() if pending_since is None else pending_since
+        pending_for = reactor.now() - started_at
+        decision = self._server.admit(database, credential, pending_for)
+        if isinstance(decision, OpeningPending):
+            self._early_lines = self._early_lines or []
             reactor.call_later(
-                refusal.recheck, lambda: self._open_again(rest, since)
+                decision.recheck, lambda: self._retry_open(rest, started_at)
             )
             return
-        if refusal is not None:
-            lines = _outcome_lines(refusal)
+        if decision is not None:
+            lines = _outcome_lines(decision)
             self._stream.send(f"{lines[0]}\r\n".encode("latin-1", "replace"))
             self._stream.close()
             logs.log_event(
                 "session_refused",
                 database=database,
-                reason=refusal.reason,
+                reason=decision.reason,
             )
             return
         self._timer.cancel()
-        number = next(self._server.numbers)
+        number = next(self._server.session_numbers)
         self.session = self._server.make_session(
             database, credential, number, self
         )
         self._stream.send(b"READY I -\r\n")
-        held, self._held = self._held, None
-        for line in held or ():
-            self._line(line)
+        early_lines, self._early_lines = self._early_lines, None
+        for line in early_lines or ():
+            self._handle_line(line)
 
-    def _open_again(self, rest: str, since: float) -> None:
+    def _retry_open(self, rest: str, pending_since: float) -> None:
         if not self._stream.closed:
-            self._open(rest, since)
+            self._open(rest, pending_since)
 
-    def _refuse(self, code: str, message: str) -> None:
-        """Answer what can't be read, and close.
+    def _reject(self, code: str, message: str) -> None:
+        """Answer a malformed message with an error and close the connection.
 
-        What follows could be anything, so nothing more is read.
+        The data after a malformed message can't be interpreted, so nothing
+        more is read.
         """
         line = f"ERROR {code} {replace_line_breaks(message)}\r\n"
         self._stream.send(line.encode("latin-1", "replace"))
         self._stream.close()
         logs.log_event("caller_cut", level=logs.Level.WARNING, reason=message)
 
-    def _closed(self) -> None:
+    def _handle_close(self) -> None:
         self._timer.cancel()
-        self._server.callers.discard(self)
+        self._server.connections.discard(self)
         if self.session is not None:
             self.session.handle_disconnect()
--- a/bamboospring/platform/line_protocol.py
+++ b/bamboospring/platform/line_protocol.py
@@ -1,8 +1,8 @@
-"""Lines as callers and targets exchange them.
+"""The line format that callers and targets exchange.
 
-A message is a word and its fields, separated by blanks and ended by CR LF;
-the last field goes on to the end of the line. Bytes are taken as latin-1, so
-that whatever a caller sends reaches the target unchanged.
+A message is a keyword and its fields, separated by spaces and terminated by
+CR LF; the last field extends to the end of the line. Bytes are decoded as
+latin-1, so that any byte that a caller sends reaches the target unchanged.
 """
 
 from __future__ import annotations
@@ -12,66 +12,70 @@
 from bamboospring.statements import Position
 
 __all__ = [
+    "format_position",
+    "key_digest",
     "LineDecoder",
     "LineTooLong",
     "MAX_LINE_BYTES",
-    "key_digest",
-    "replace_line_breaks",
-    "format_position",
     "parse_position",
+    "replace_line_breaks",
 ]
 
-# Bytes of the longest message on the wire, its end included.
+# The maximum size of a message, including its terminator.
 MAX_LINE_BYTES = 1024 * 1024
-END = b"\r\n"
+LINE_END = b"\r\n"
 
 
 class LineTooLong(Exception):
-    """A line goes on beyond what a message may hold."""
+    """A line is longer than the maximum size of a message."""
 
 
 class LineDecoder:
-    """Cuts a stream of bytes into lines."""
+    """Splits a stream of bytes into lines."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_partial_line",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, data: bytes) -> list[str]:
-        """Return the lines that are whole now; raises LineTooLong."""
-        if self._rest:
-            data = self._rest + data
-        *lines, self._rest = data.split(END)
+        """Return the lines completed by `data`.
+
+        Raises `LineTooLong` if a line exceeds the maximum size.
+        """
+        if self._partial_line:
+            data = self._partial_line + data
+        *lines, self._partial_line = data.split(LINE_END)
         longest = max(map(len, lines), default=0)
-        if max(longest, len(self._rest)) > MAX_LINE_BYTES:
+        if max(longest, len(self._partial_line)) > MAX_LINE_BYTES:
             raise LineTooLong()
         return [line.decode("latin-1") for line in lines]
 
 
 def format_position(position: Position | None) -> str:
-    """Return a position as the wire has it."""
+    """Return a position in the wire format, `-` for none."""
     if position is None:
         return "-"
     return f"{position.term}.{position.index}"
 
 
 def parse_position(text: str) -> Position | None:
-    """Read a position; None where there is none."""
-    term, dot, number = text.partition(".")
-    if not dot or not (term.isdigit() and number.isdigit()):
+    """Parse a position; return None if the text holds none."""
+    term, dot, index = text.partition(".")
+    if not dot or not (term.isdigit() and index.isdigit()):
         return None
-    return Position(term=int(term), index=int(number))
+    return Position(term=int(term), index=int(index))
 
 
 def replace_line_breaks(text: str) -> str:
-    """Return a text that stays within its line."""
+    """Replace line breaks by spaces, so that the text fits in one line."""
     return text.replace("\r", " ").replace("\n", " ")
 
 
 def key_digest(key: bytes) -> str:
-    """Return what stands for a caller's key wherever it is kept or compared.
+    """Return the digest of a caller's key.
 
-    The key itself goes no further than the line that it came on.
+    Only the digest is stored and compared; the key itself is not kept after
+    its message has been parsed.
     """
     return hashlib.blake2s(key, digest_size=16).hexdigest()
--- a/bamboospring/platform/promotion_client.py
+++ b/bamboospring/platform/promotion_client.py
@@ -1,4 +1,4 @@
-"""Have the platform promote a target."""
+"""Requests to the platform to promote a target."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class PromotionClient:
-    """Orders of promotion, each on a connection of its own.
+    """Sends promotion requests, each on a connection of its own.
 
-    A connection on which an order has no answer is reset: what is still on
-    its way is then lost, and can't arrive after the lease under which it was
-    sent has passed to another process.
+    A connection whose request got no answer is reset. This discards data
+    that is still in transit, so the request can't arrive after the lease
+    under which it was sent has passed to another process.
     """
 
     def __init__(self, *, reactor: Reactor, address: str) -> None:
@@ -38,7 +38,11 @@
         timeout: float,
         on_complete: Callable[[PromotionResult], None],
     ) -> None:
-        """Order it under the fencing number of the holder's lease."""
+        """Request a promotion under the fencing number of the holder's lease.
+
+        `timeout` is in seconds and applies to the connection and to the
+        answer separately.
+        """
         conn = HttpConnection(reactor=self._reactor, address=self._address)
         body = orjson.dumps({"service": group, "id": target})
         headers = (
@@ -46,22 +50,22 @@
             f"Duty-Holder: {holder}\r\nFencing-Token: {fence}\r\n"
         )
 
-        def connected(ok: bool) -> None:
+        def on_connected(ok: bool) -> None:
             if not ok:
                 on_complete(PromotionResult.NOT_SENT)
                 return
             conn.request(
-                "POST", "/promotion", body, timeout, answered, headers
+                "POST", "/promotion", body, timeout, on_answer, headers
             )
 
-        def answered(answer: HttpAnswer | HttpLost) -> None:
+        def on_answer(answer: HttpAnswer | HttpLost) -> None:
             conn.close()
-            on_complete(_result(answer))
+            on_complete(_promotion_result(answer))
 
-        conn.connect(timeout, connected)
+        conn.connect(timeout, on_connected)
 
 
-def _result(answer: HttpAnswer | HttpLost) -> PromotionResult:
+def _promotion_result(answer: HttpAnswer | HttpLost) -> PromotionResult:
     match answer:
         case HttpLost():
             return PromotionResult.UNKNOWN
--- a/bamboospring/platform/store_dialect.py
+++ b/bamboospring/platform/store_dialect.py
@@ -1,4 +1,4 @@
-"""Speak with the platform's object store."""
+"""The HTTP calls of the platform's object store."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 __all__ = ["StoreDialect"]
 
-ROOT = "/api/objects"
-JSON = "Content-Type: application/json\r\n"
+OBJECTS_PATH = "/api/objects"
+JSON_HEADER = "Content-Type: application/json\r\n"
 
 
 class StoreDialect:
-    """How the platform's store is called and what it answers.
+    """Encodes calls to the platform's store and decodes its answers.
 
-    Its revision of an object serves as the version here. What others call
-    the object's specification is the value; nothing of ours uses the status.
+    The store's revision of an object is used as the object's version, and
+    its `spec` as the object's value. The `status` is not used.
     """
 
     era_header = "store-era"
 
     def get(self, kind: str, name: str) -> Call:
         """Return the call that reads one object."""
-        return Call(method="GET", path=_path(kind, name))
+        return Call(method="GET", path=_object_path(kind, name))
 
     def put(self, kind: str, name: str, if_version: int, value: Any) -> Call:
-        """Return the call that stores a value on a condition.
+        """Return the call that stores a value if the version matches.
 
-        An object that is not there yet is created by another method, which
-        fails if there is one.
+        Version 0 creates the object; that call uses another HTTP method and
+        fails if the object exists.
         """
         meta: dict[str, Any] = {"name": name, "finalizers": []}
         if if_version:
@@ -45,46 +45,52 @@
         body = orjson.dumps({"meta": meta, "spec": value})
         if if_version:
             return Call(
-                method="PUT", path=_path(kind, name), body=body, headers=JSON
+                method="PUT",
+                path=_object_path(kind, name),
+                body=body,
+                headers=JSON_HEADER,
             )
         return Call(
-            method="POST", path=f"{ROOT}/{kind}", body=body, headers=JSON
+            method="POST",
+            path=f"{OBJECTS_PATH}/{kind}",
+            body=body,
+            headers=JSON_HEADER,
         )
 
     def delete(self, kind: str, name: str, if_version: int) -> Call:
-        """Return the call that removes an object on a condition."""
-        path = f"{_path(kind, name)}?revision={if_version}"
+        """Return the call that deletes an object if the version matches."""
+        path = f"{_object_path(kind, name)}?revision={if_version}"
         return Call(method="DELETE", path=path)
 
     def list(self, kind: str, after: str) -> Call:
-        """Return the call that reads all objects of a kind, or the rest."""
+        """Return the call that lists the objects of a kind after a name."""
         query = f"?after={quote(after, safe='')}" if after else ""
-        return Call(method="GET", path=f"{ROOT}/{kind}{query}")
+        return Call(method="GET", path=f"{OBJECTS_PATH}/{kind}{query}")
 
     def watch(self, kind: str, revision: int, wait_ms: int) -> Call:
         """Return the call that waits for changes after a revision."""
-        path = f"{ROOT}/{kind}?watch={revision}&waitMs={wait_ms}"
+        path = f"{OBJECTS_PATH}/{kind}?watch={revision}&waitMs={wait_ms}"
         return Call(method="GET", path=path)
 
     def header(self, purpose: str) -> str:
-        """Return no header: the store does not count purposes."""
+        """Return no header: the store keeps no counters by purpose."""
         return ""
 
     def found(self, body: bytes) -> Found:
-        """Read the answer that holds one object."""
-        return _object("", orjson.loads(body))
+        """Decode the answer that holds one object."""
+        return _parse_object("", orjson.loads(body))
 
     def stored(self, body: bytes) -> Stored:
-        """Read the answer to an update that was done."""
-        return Stored(version=_object("", orjson.loads(body)).version)
+        """Decode the answer to a successful update."""
+        return Stored(version=_parse_object("", orjson.loads(body)).version)
 
     def conflict(self, status: int, body: bytes) -> Conflict:
-        """Read the answer to an update whose condition failed.
+        """Decode the answer to an update whose condition failed.
 
-        Without an object in it there is none.
+        A 404 without an object means that the object does not exist.
         """
         try:
-            found = _object("", orjson.loads(body))
+            found = _parse_object("", orjson.loads(body))
         except (ValueError, KeyError, TypeError):
             if status == 404:
                 return Conflict(version=0, value=None)
@@ -92,9 +98,9 @@
         return Conflict(version=found.version, value=found.value)
 
     def page(self, kind: str, body: bytes) -> Page:
-        """Read a part of a list."""
+        """Decode one page of a list."""
         raw = orjson.loads(body)
-        objects = _readable(kind, raw["items"])
+        objects = _parse_objects(kind, raw["items"])
         more = bool(raw.get("hasMore")) and bool(objects)
         return Page(
             changes=Changes(objects=objects, revision=int(raw["currentRev"])),
@@ -102,40 +108,40 @@
         )
 
     def events(self, kind: str, body: bytes) -> Changes:
-        """Read the answer to a watch."""
+        """Decode the answer to a watch."""
         raw = orjson.loads(body)
         objects: list[Found] = []
         for event in raw.get("events") or ():
-            found = _readable(kind, [event.get("object")])
+            found = _parse_objects(kind, [event.get("object")])
             if found and event.get("deleted"):
-                gone = found[0]
+                deleted = found[0]
                 found = (
-                    Found(kind=kind, name=gone.name, version=0, value=None),
+                    Found(kind=kind, name=deleted.name, version=0, value=None),
                 )
             objects.extend(found)
         return Changes(objects=tuple(objects), revision=int(raw["currentRev"]))
 
 
-def _path(kind: str, name: str) -> str:
-    return f"{ROOT}/{kind}/{quote(name, safe='')}"
+def _object_path(kind: str, name: str) -> str:
+    return f"{OBJECTS_PATH}/{kind}/{quote(name, safe='')}"
 
 
-def _readable(kind: str, items: list[Any]) -> tuple[Found, ...]:
-    """Return the objects that can be read.
+def _parse_objects(kind: str, items: list[Any]) -> tuple[Found, ...]:
+    """Return the objects that can be decoded.
 
-    Others write to the store too; what is no object names nothing to use,
-    and must not hide the rest of the list.
+    Other programs write to the store too. An item that is not an object is
+    skipped, so that it does not hide the rest of the list.
     """
     found = []
     for raw in items:
         try:
-            found.append(_object(kind, raw))
+            found.append(_parse_object(kind, raw))
         except (ValueError, KeyError, TypeError, AttributeError):
             continue
     return tuple(found)
 
 
-def _object(kind: str, raw: Any) -> Found:
+def _parse_object(kind: str, raw: Any) -> Found:
     meta = raw["meta"]
     return Found(
         kind=kind,
--- a/bamboospring/platform/store_objects.py
+++ b/bamboospring/platform/store_objects.py
@@ -1,4 +1,4 @@
-"""Read what operators and targets write to the platform's store."""
+"""Decodes the objects that operators and targets write to the store."""
 
 from __future__ import annotations
 
@@ -32,104 +32,104 @@
 CATALOG_NAME = "main"
 TARGET_KIND = "servers"
 
-FRESHNESS = {
+FRESHNESS_BY_KIND = {
     "primary": Freshness.PRIMARY,
     "bounded_staleness": Freshness.BOUNDED,
     "read_your_writes": Freshness.OWN_WRITES,
 }
-READY = "ready"
-LEAVING = "draining"
+STATE_READY = "ready"
+STATE_DRAINING = "draining"
 ROLES = ("primary", "replica")
-# Where a route names no age, reads of it accept none.
-DEFAULT_IDLE_MS = 3000
+DEFAULT_TRANSACTION_IDLE_MS = 3000
 
 
-class _Entry(BaseModel):
+class _StoreValue(BaseModel):
     model_config = ConfigDict(strict=True, extra="ignore")
 
 
-class _Route(_Entry):
+class _Route(_StoreValue):
     name: str
     database: str
     kind: str
     service: str
-    # Bounds one statement, not the whole operation.
+    # Limits one statement, not the whole operation.
     timeoutMs: float
-    # The time in which the whole operation is to be done.
+    # The objective for the duration of a whole operation.
     targetLatencyMs: float = 0
     priority: int = 0
+    # Without it, reads of the route accept no staleness.
     maxStalenessMs: float | None = None
     allowAnonymous: bool = False
 
 
-class _Tenant(_Entry):
-    # The team's name, which its targets are told.
+class _Tenant(_StoreValue):
+    # The name of the team, which is sent to the targets.
     name: str
     apiKeys: list[str] = Field(default_factory=list)
-    # Operations, over all VMs; none: without a limit.
+    # Operations per second over all VMs; None means no limit.
     ratePerS: float | None = None
     burstSize: float | None = None
 
 
-class _Service(_Entry):
+class _Service(_StoreValue):
     name: str
-    # Of each member, over all who connect.
+    # The limit for each member, over all of its clients.
     maxConnections: int
     syncReplicas: int = 0
 
 
-class _Limits(_Entry):
-    # How long a transaction may rest before it may be ended.
-    transactionIdleMs: float = DEFAULT_IDLE_MS
+class _Limits(_StoreValue):
+    # After this time without a statement a transaction may be ended.
+    transactionIdleMs: float = DEFAULT_TRANSACTION_IDLE_MS
 
 
-class _Config(_Entry):
+class _Config(_StoreValue):
     version: int
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits = Field(default_factory=_Limits)
-    # None where callers need no key.
+    # None if callers need no key.
     tenants: list[_Tenant] | None = None
 
 
-class _Server(_Entry):
-    # The group's name; an entry is filed under the target's own.
+class _Server(_StoreValue):
+    # The name of the group; the object is stored under the target's name.
     service: str
     address: str
     zone: str
     state: str
     slots: int = 1
     databaseRole: str = ""
-    # The millisecond of the target's start: with the same name it is another
-    # life, which knows nothing of the one before.
+    # The start time of the target in milliseconds. A target that restarts
+    # under the same name has another value and no state of the earlier run.
     born: int = 0
 
 
 def read_catalog(found: Found) -> Catalog | None:
-    """Read a configuration; None, with a log line, if it can't be used."""
+    """Decode a configuration; log the error and return None if invalid."""
     try:
         raw = _Config.model_validate(found.value)
     except ValidationError as exc:
-        _log_unreadable(found, exc)
+        _log_invalid(found, exc)
         return None
     routes = {}
     for route in raw.routes:
-        if route.kind in FRESHNESS:
+        if route.kind in FRESHNESS_BY_KIND:
             routes[route.database] = _route(route)
     return Catalog(
         version=raw.version,
         routes=routes,
         groups={
-            each.name: GroupLimits(
-                name=each.name,
-                max_connections=each.maxConnections,
-                sync_replicas=each.syncReplicas,
+            service.name: GroupLimits(
+                name=service.name,
+                max_connections=service.maxConnections,
+                sync_replicas=service.syncReplicas,
             )
-            for each in raw.services
+            for service in raw.services
         },
         transaction_idle_timeout=raw.limits.transactionIdleMs / 1000,
         teams=_teams(raw.tenants),
-        keys=_keys(raw.tenants or []),
+        keys=_teams_by_key(raw.tenants or []),
     )
 
 
@@ -144,10 +144,11 @@
     }
 
 
-def _keys(tenants: list[_Tenant]) -> dict[str, str]:
-    """Return the team of each key.
+def _teams_by_key(tenants: list[_Tenant]) -> dict[str, str]:
+    """Return the team of each key, by the digest of the key.
 
-    A key of two teams opens nothing: whose work it is can't be known.
+    A key that two teams share is not accepted, because the team of its
+    callers is ambiguous.
     """
     teams: dict[str, set[str]] = {}
     for raw in tenants:
@@ -168,32 +169,34 @@
 
 
 def _route(raw: _Route) -> Route:
-    age = raw.maxStalenessMs
+    max_staleness_ms = raw.maxStalenessMs
     return Route(
         name=raw.name,
         database=raw.database,
         group=raw.service,
-        freshness=FRESHNESS[raw.kind],
+        freshness=FRESHNESS_BY_KIND[raw.kind],
         time_limit=raw.timeoutMs / 1000,
         objective=(raw.targetLatencyMs or raw.timeoutMs) / 1000,
         urgency=raw.priority,
-        max_age=None if age is None else age / 1000,
+        max_age=None if max_staleness_ms is None else max_staleness_ms / 1000,
         anonymous=raw.allowAnonymous,
     )
 
 
 def read_target(found: Found) -> ListedTarget | None:
-    """Read a target's entry; None if it names nothing to use.
+    """Decode a target's object; return None if it can't be used.
 
-    Entries may come from other writers: fields missing or of another type,
-    or a state that nobody knows.
+    Other programs may write such objects too, with missing fields, fields of
+    another type or an unknown state.
     """
     try:
         raw = _Server.model_validate(found.value)
     except ValidationError as exc:
-        _log_unreadable(found, exc)
+        _log_invalid(found, exc)
         return None
-    if raw.state not in (READY, LEAVING) or not _is_address(raw.address):
+    if raw.state not in (STATE_READY, STATE_DRAINING) or not _is_address(
+        raw.address
+    ):
         return None
     if raw.databaseRole not in ROLES:
         return None
@@ -207,7 +210,7 @@
             born=raw.born,
         ),
         group=raw.service,
-        leaving=raw.state == LEAVING,
+        leaving=raw.state == STATE_DRAINING,
         is_primary=raw.databaseRole == "primary",
     )
 
@@ -217,14 +220,14 @@
     return bool(host) and port.isdigit() and 0 < int(port) < 65536
 
 
-def _log_unreadable(found: Found, exc: ValidationError) -> None:
-    first: Any = exc.errors()[0]
+def _log_invalid(found: Found, exc: ValidationError) -> None:
+    first_error: Any = exc.errors()[0]
     logs.log_event(
         "entry_unreadable",
         level=logs.Level.WARNING,
         kind=found.kind,
         name=found.name,
         version=found.version,
-        field=".".join(map(str, first["loc"])),
-        reason=first["type"],
+        field=".".join(map(str, first_error["loc"])),
+        reason=first_error["type"],
     )
--- a/bamboospring/platform/target_dialer.py
+++ b/bamboospring/platform/target_dialer.py
@@ -1,4 +1,4 @@
-"""Speak with targets: one connection, its orders and their answers."""
+"""The client side of the line protocol: connections to targets."""
 
 from __future__ import annotations
 
@@ -40,20 +40,21 @@
 
 __all__ = ["LineDialer", "LineLink"]
 
-# Who connects where no team is known: for the system's own statements, and
-# for callers that need no key.
-WHO = "bamboospring"
+# The user name of connections without a team: those for the proxy's own
+# statements and for callers that need no key.
+DEFAULT_USER = "bamboospring"
 
-# A connection that fails within this part of its time was refused.
-REFUSED_PART = 0.5
+# A connection attempt that fails within this fraction of its timeout was
+# refused; a host that does not respond uses the whole timeout.
+REFUSED_TIME_FRACTION = 0.5
 
-STATES = {
+STATES_BY_CODE = {
     "I": SessionState.IDLE,
     "T": SessionState.OPEN,
     "E": SessionState.FAILED,
 }
 
-REFUSALS = {
+REFUSALS_BY_CODE = {
     "BUSY": Refusal.BUSY,
     "LAGGING": Refusal.BEHIND,
     "READONLY": Refusal.NOT_PRIMARY,
@@ -68,11 +69,15 @@
 
 
 class LineLink:
-    """A connection to a target, greeted and in step."""
+    """A connection to a target on which one exchange runs at a time.
+
+    `values`, `shapes` and `state` mirror the state that the target keeps for
+    the connection.
+    """
 
     __slots__ = (
         "_buffer",
-        "_done",
+        "_on_complete",
         "_orders",
         "_reactor",
         "_replies",
@@ -92,21 +97,23 @@
         self._replies: list[TargetReply] = []
         self._reply = TargetReply()
         self._timer: Timer | None = None
-        self._done: Callable[[list[TargetReply] | LinkLost], None] | None
-        self._done = None
+        self._on_complete: (
+            Callable[[list[TargetReply] | LinkLost], None] | None
+        )
+        self._on_complete = None
         self.values: dict[str, str] = {}
         self.shapes: set[Shape] = set()
         self.state = SessionState.IDLE
-        stream.on_data = self._data
-        stream.on_close = self._closed
+        stream.on_data = self._handle_data
+        stream.on_close = self._handle_close
 
     @property
     def usable(self) -> bool:
-        """Tell whether it is open with nothing under way."""
-        return not self._stream.closed and self._done is None
+        """Return whether the connection is open and no exchange is running."""
+        return not self._stream.closed and self._on_complete is None
 
     def close(self) -> None:
-        """Close it; what is under way is lost."""
+        """Close the connection; a running exchange is lost."""
         self._stream.abort()
 
     def open_session(
@@ -117,9 +124,12 @@
         timeout: float,
         on_complete: Callable[[list[TargetReply] | LinkLost], None],
     ) -> None:
-        """Say which target is meant; another one at the address refuses."""
-        self._begin((), timeout, on_complete)
-        line = f"OPEN {service} {team or WHO} {target.name}\r\n"
+        """Open the session and name the target.
+
+        Another target that listens at the address refuses the session.
+        """
+        self._start_exchange((), timeout, on_complete)
+        line = f"OPEN {service} {team or DEFAULT_USER} {target.name}\r\n"
         self._stream.send(line.encode("latin-1"))
 
     def send(
@@ -128,74 +138,77 @@
         timeout: float,
         on_complete: Callable[[list[TargetReply] | LinkLost], None],
     ) -> None:
-        """Send all orders at once and call back with all the answers."""
+        """Send all orders at once; `on_complete` gets all replies."""
         if not self.usable:
             self._reactor.call_later(0, lambda: on_complete(LinkLost()))
             return
-        self._begin(orders, timeout, on_complete)
-        data = "".join(map(_line, orders)).encode("latin-1")
+        self._start_exchange(orders, timeout, on_complete)
+        data = "".join(map(_encode_order, orders)).encode("latin-1")
         self._stream.send(data)
 
-    def _begin(
+    def _start_exchange(
         self,
         orders: Sequence[TargetOrder],
         timeout: float,
-        on_done: Callable[[list[TargetReply] | LinkLost], None],
+        on_complete: Callable[[list[TargetReply] | LinkLost], None],
     ) -> None:
         self._orders = orders
         self._replies = []
         self._reply = TargetReply()
-        self._done = on_done
-        self._timer = self._reactor.call_later(timeout, self._timed_out)
+        self._on_complete = on_complete
+        self._timer = self._reactor.call_later(timeout, self._handle_timeout)
 
-    def _data(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         try:
             lines = self._buffer.feed(data)
         except LineTooLong:
-            self._lose(LinkLost())
+            self._fail(LinkLost())
             return
         for line in lines:
-            if self._done is None:
-                # Nobody asked for this, so what the next answer would
-                # belong to can't be known.
-                self._lose(LinkLost())
+            if self._on_complete is None:
+                # The data is unsolicited. Later replies could not be matched
+                # to their orders.
+                self._fail(LinkLost())
                 return
-            self._line(line)
+            self._handle_line(line)
 
-    def _line(self, line: str) -> None:
-        word, _, rest = line.partition(" ")
-        match word:
+    def _handle_line(self, line: str) -> None:
+        keyword, _, rest = line.partition(" ")
+        match keyword:
             case "ROW":
                 self._reply.rows.append(rest)
             case "COMPLETE":
                 self._reply.signature = rest
             case "ERROR":
                 code, _, message = rest.partition(" ")
-                self._reply.refusal = REFUSALS.get(code, Refusal.OTHER)
+                self._reply.refusal = REFUSALS_BY_CODE.get(code, Refusal.OTHER)
                 self._reply.message = f"{code} {message}".strip()
                 if not self._orders:
-                    # A refused greeting is followed by a close.
+                    # The target closes the connection after it has refused
+                    # the session, without a READY line.
                     self._finish_reply()
             case "READY":
                 state, _, position = rest.partition(" ")
-                self._reply.state = STATES.get(state, SessionState.FAILED)
+                self._reply.state = STATES_BY_CODE.get(
+                    state, SessionState.FAILED
+                )
                 self._reply.position = parse_position(position)
                 self._finish_reply()
             case _:
-                self._lose(LinkLost())
+                self._fail(LinkLost())
 
     def _finish_reply(self) -> None:
         reply, self._reply = self._reply, TargetReply()
         self.state = reply.state
-        number = len(self._replies)
+        order_index = len(self._replies)
         self._replies.append(reply)
-        if number < len(self._orders):
-            self._take(self._orders[number], reply)
+        if order_index < len(self._orders):
+            self._apply_order(self._orders[order_index], reply)
         if len(self._replies) >= len(self._orders):
-            self._finish(self._replies)
+            self._complete(self._replies)
 
-    def _take(self, order: TargetOrder, reply: TargetReply) -> None:
-        """Mirror what the target has done with an order."""
+    def _apply_order(self, order: TargetOrder, reply: TargetReply) -> None:
+        """Update the mirrored state after a successful order."""
         if reply.refusal is not None:
             return
         match order:
@@ -207,49 +220,49 @@
             case PrepareShape(shape=shape):
                 self.shapes.add(shape)
             case AskReport() | HoldTerm() | ResumeReceiving() | StepDown():
-                reply.report = _read_report(reply.rows)
+                reply.report = _parse_report(reply.rows)
 
-    def _timed_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._timer = None
-        self._lose(LinkLost(unresponsive=True))
+        self._fail(LinkLost(unresponsive=True))
 
-    def _closed(self) -> None:
-        self._finish(LinkLost())
+    def _handle_close(self) -> None:
+        self._complete(LinkLost())
 
-    def _lose(self, lost: LinkLost) -> None:
-        self._finish(lost)
+    def _fail(self, lost: LinkLost) -> None:
+        self._complete(lost)
         self._stream.abort()
 
-    def _finish(self, result: list[TargetReply] | LinkLost) -> None:
+    def _complete(self, result: list[TargetReply] | LinkLost) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        done, self._done = self._done, None
-        if done is not None:
-            done(result)
+        on_complete, self._on_complete = self._on_complete, None
+        if on_complete is not None:
+            on_complete(result)
 
 
-def _line(order: TargetOrder) -> str:
+def _encode_order(order: TargetOrder) -> str:
     match order:
         case RunText(id=id, text=text, after=after):
-            return f"QUERY {id} {_after(after)}{text}\r\n"
+            return f"QUERY {id} {_after_clause(after)}{text}\r\n"
         case RunShape(id=id, shape=shape, arguments=arguments, after=after):
-            text = f"EXECUTE {_name(shape)} {arguments}".rstrip()
-            return f"QUERY {id} {_after(after)}{text}\r\n"
+            text = f"EXECUTE {_name_of(shape)} {arguments}".rstrip()
+            return f"QUERY {id} {_after_clause(after)}{text}\r\n"
         case CommitWork(id=id):
             return f"QUERY {id} COMMIT\r\n"
         case RollbackWork():
             return "QUERY - ROLLBACK\r\n"
         case BeginWork(read_only=read_only, after=after):
             mode = " READ" if read_only else ""
-            return f"QUERY - {_after(after)}BEGIN{mode}\r\n"
+            return f"QUERY - {_after_clause(after)}BEGIN{mode}\r\n"
         case ResetConnection():
             return "QUERY - RESET\r\n"
         case Assign(name=name, value=value):
             return f"QUERY - SET {name} {value}\r\n"
         case PrepareShape(shape=shape):
             mode = "WRITE" if shape.writes else "READ"
-            return f"QUERY - PREPARE {_name(shape)} {mode} {shape.text}\r\n"
+            return f"QUERY - PREPARE {_name_of(shape)} {mode} {shape.text}\r\n"
         case AskReport():
             return "QUERY - STATUS\r\n"
         case HoldTerm(term=term):
@@ -260,38 +273,47 @@
             return f"QUERY - STEPDOWN {term}\r\n"
 
 
-def _after(position: Position | None) -> str:
+def _after_clause(position: Position | None) -> str:
     return "" if position is None else f"AFTER {format_position(position)} "
 
 
-def _name(shape: Shape) -> str:
-    """Return the name of a shape, the same on every connection.
+def _name_of(shape: Shape) -> str:
+    """Return the name of a prepared shape, the same on every connection.
 
-    Callers' own names collide between callers, who share connections.
+    The names that callers choose are not used, because callers share
+    connections and their names may collide.
     """
     mode = "w" if shape.writes else "r"
     digest = hashlib.blake2s(shape.text.encode("latin-1"), digest_size=8)
     return f"{mode}{digest.hexdigest()}"
 
 
-def _read_report(rows: list[str]) -> TargetReport | None:
-    """Read a target's place in its group; None if it can't be read.
+def _parse_report(rows: list[str]) -> TargetReport | None:
+    """Parse a target's report; return None if it is malformed.
 
     The fields are role, term, position received, term held, lag in
-    milliseconds, statements under way and connections.
+    milliseconds, statements in flight and connections.
     """
     if not rows:
         return None
     fields = rows[0].split(" ")
     try:
-        role, term, received, held, lag, _busy, connections = fields[:7]
-        position = parse_position(received) or Position()
+        (
+            role,
+            term,
+            received_position,
+            held_term,
+            lag,
+            _in_flight,
+            connections,
+        ) = fields[:7]
+        position = parse_position(received_position) or Position()
         return TargetReport(
             is_primary=role == "primary",
             term=int(term),
             received_term=position.term,
             received_index=position.index,
-            held_term=int(held) if held != "-" else 0,
+            held_term=int(held_term) if held_term != "-" else 0,
             lag=float(lag) / 1000 if lag != "-" else 0.0,
             connections=int(connections),
         )
@@ -300,7 +322,7 @@
 
 
 class LineDialer:
-    """The dialer of one pool."""
+    """Opens the connections of one pool over the line protocol."""
 
     def __init__(
         self, *, reactor: Reactor, target: Target, service: str
@@ -315,32 +337,36 @@
         timeout: float,
         on_complete: Callable[[Opened[LineLink] | OpenFailed], None],
     ) -> None:
-        """Open a connection and greet the target in a team's name."""
+        """Connect and open the session under a team's name."""
 
-        began = self._reactor.now()
+        started_at = self._reactor.now()
 
-        def connected(stream: Stream | None) -> None:
+        def on_connected(stream: Stream | None) -> None:
             if stream is None:
-                # A machine that is silent uses the whole time up.
-                took = self._reactor.now() - began
-                on_complete(OpenFailed(refused=took < timeout * REFUSED_PART))
+                # A host that does not respond uses the whole timeout.
+                elapsed = self._reactor.now() - started_at
+                on_complete(
+                    OpenFailed(
+                        refused=elapsed < timeout * REFUSED_TIME_FRACTION
+                    )
+                )
                 return
             link = LineLink(reactor=self._reactor, stream=stream)
 
-            def greeted(result: list[TargetReply] | LinkLost) -> None:
+            def on_opened(result: list[TargetReply] | LinkLost) -> None:
                 if isinstance(result, LinkLost):
                     on_complete(OpenFailed())
                 elif result[0].refusal is not None:
                     link.close()
-                    on_complete(_open_failed(result[0]))
+                    on_complete(_open_failure(result[0]))
                 else:
                     on_complete(Opened(link=link))
 
             link.open_session(
-                self._target, self._service, team, timeout, greeted
+                self._target, self._service, team, timeout, on_opened
             )
 
-        self._reactor.connect(self._target.address, timeout, connected)
+        self._reactor.connect(self._target.address, timeout, on_connected)
 
     def check(
         self,
@@ -348,9 +374,9 @@
         timeout: float,
         on_complete: Callable[[Health], None],
     ) -> None:
-        """Clear an idle connection, which takes no slot of the target."""
+        """Reset an idle connection, which uses no slot of the target."""
 
-        def answered(result: list[TargetReply] | LinkLost) -> None:
+        def on_reply(result: list[TargetReply] | LinkLost) -> None:
             match result:
                 case LinkLost(unresponsive=True):
                     on_complete(Health.SILENT)
@@ -359,12 +385,12 @@
                 case _:
                     on_complete(Health.ALIVE)
 
-        link.send([ResetConnection()], timeout, answered)
+        link.send([ResetConnection()], timeout, on_reply)
 
     def end(self, number: int) -> None:
-        """Do nothing: a target drops a connection whose end is gone."""
+        """Do nothing: a target drops a connection that its client closed."""
 
 
-def _open_failed(reply: TargetReply) -> OpenFailed:
+def _open_failure(reply: TargetReply) -> OpenFailed:
     code = reply.message.partition(" ")[0]
     return OpenFailed(full=code == "MAXCONN", wrong_target=code == "WRONGHOST")
