--- a/bamboospring/testing/__init__.py
+++ b/bamboospring/testing/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for targets, platform and network, for demo and tests."""
+"""Stand-ins for targets, the platform and the network, for tests and demo."""
 
 __all__: list[str] = []
--- a/bamboospring/testing/caller.py
+++ b/bamboospring/testing/caller.py
@@ -1,8 +1,8 @@
-"""A small caller for tests, the demo and the bench.
+"""A small caller for tests, the demo and the benchmarks.
 
-It keeps one keep-alive connection for each entry, carries the session token
-from answer to answer and may roam to another entry between requests. It
-never retries by itself: what an answer says is what the test sees.
+It keeps one keep-alive connection per entry, passes the session token from
+each answer to the next request and can switch to another entry between
+requests. It never retries by itself, so that tests see every answer.
 """
 
 from __future__ import annotations
@@ -20,18 +20,19 @@
 __all__ = ["Caller", "CallerAnswer"]
 
 DEFAULT_DEADLINE_MS = 2000
-# The caller waits a little longer than its deadline, so that the proxy's own
-# final answer at the deadline still arrives.
-GRACE_SECONDS = 1.0
-LOST = "lost"
+# The caller waits this much longer than its deadline, so that an answer that
+# the proxy sends at the deadline still arrives.
+ANSWER_GRACE_SECONDS = 1.0
+OUTCOME_LOST = "lost"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerAnswer:
-    """One answer as the caller got it.
+    """One answer as the caller received it.
 
-    `outcome` is `lost` when the connection broke before the answer was
-    whole; the caller then knows as little as after `unknown`.
+    `outcome` is `lost` if the connection failed before the answer was
+    complete; as with `unknown`, the statement may have taken effect.
+    `elapsed` is in seconds.
     """
 
     outcome: str
@@ -54,7 +55,7 @@
 
     @property
     def done(self) -> bool:
-        """Tell whether the statement ran and its effect is acknowledged."""
+        """Return whether the statement was executed and acknowledged."""
         return self.outcome == "done"
 
 
@@ -62,8 +63,7 @@
 class Caller:
     """One session of one caller, usable through any of `entries`.
 
-    Not safe for use by several threads at once: a session is one line of
-    work.
+    Not thread-safe: a session runs one statement at a time.
     """
 
     entries: Sequence[str]
@@ -71,15 +71,17 @@
     deadline_ms: int = DEFAULT_DEADLINE_MS
     entry_index: int = 0
     token: str = ""
-    _conns: dict[str, http.client.HTTPConnection] = field(default_factory=dict)
+    _connections: dict[str, http.client.HTTPConnection] = field(
+        default_factory=dict
+    )
 
     @property
     def entry(self) -> str:
-        """Return the address of the entry in use."""
+        """Return the address of the current entry."""
         return self.entries[self.entry_index % len(self.entries)]
 
     def roam(self, at: int | None = None) -> None:
-        """Go on through another entry: the next one, or the given one."""
+        """Switch to the next entry, or to the entry with the given index."""
         self.entry_index = self.entry_index + 1 if at is None else at
 
     def open(self) -> str:
@@ -98,7 +100,9 @@
         staleness_ms: int | None = None,
     ) -> CallerAnswer:
         """Read, at a replica if one satisfies the session."""
-        return self._statement(group, "read", sql, params, None, staleness_ms)
+        return self._send_statement(
+            group, "read", sql, params, None, staleness_ms
+        )
 
     def write(
         self,
@@ -108,12 +112,12 @@
         *,
         key: str | None = None,
     ) -> CallerAnswer:
-        """Write in a transaction of its own; `key` makes it idempotent."""
-        return self._statement(group, "write", sql, params, key, None)
+        """Write in an implicit transaction; `key` makes it idempotent."""
+        return self._send_statement(group, "write", sql, params, key, None)
 
     def begin(self, group: str) -> CallerAnswer:
-        """Begin a transaction; its handle is in the answer."""
-        return self._step(group, "begin", "")
+        """Begin a transaction; the answer contains its handle."""
+        return self._send_step(group, "begin", "")
 
     def statement(
         self,
@@ -124,49 +128,49 @@
         *,
         kind: str = "write",
     ) -> CallerAnswer:
-        """Run a statement inside a transaction."""
-        return self._step(
+        """Run a statement in a transaction."""
+        return self._send_step(
             group, "statement", transaction, kind=kind, sql=sql, params=params
         )
 
     def commit(
         self, group: str, transaction: str, *, key: str | None = None
     ) -> CallerAnswer:
-        """Commit a transaction; `key` makes the whole idempotent."""
-        return self._step(group, "commit", transaction, key=key)
+        """Commit a transaction; `key` makes the transaction idempotent."""
+        return self._send_step(group, "commit", transaction, key=key)
 
     def rollback(self, group: str, transaction: str) -> CallerAnswer:
         """Roll a transaction back."""
-        return self._step(group, "rollback", transaction)
+        return self._send_step(group, "rollback", transaction)
 
     def post(self, path: str, body: dict[str, Any]) -> CallerAnswer:
-        """Send one request and wait for its answer or its loss."""
-        began = time.monotonic()
+        """Send one request and return its answer, `lost` if it got none."""
+        started_at = time.monotonic()
         try:
             status, data = self._exchange(path, body)
         except (OSError, http.client.HTTPException, ValueError) as exc:
-            self._drop()
-            seconds = time.monotonic() - began
+            self._close_connection()
+            elapsed = time.monotonic() - started_at
             return CallerAnswer(
-                outcome=LOST, message=repr(exc), elapsed=seconds
+                outcome=OUTCOME_LOST, message=repr(exc), elapsed=elapsed
             )
-        seconds = time.monotonic() - began
+        elapsed = time.monotonic() - started_at
         if data.get("token"):
             self.token = data["token"]
-        return _answer(data, status, seconds)
+        return _parse_answer(data, status, elapsed)
 
     def close_connections_except(self, entries: Sequence[str]) -> None:
         """Close the connections to all other entries."""
-        for entry in [e for e in self._conns if e not in entries]:
-            self._conns.pop(entry).close()
+        for entry in [e for e in self._connections if e not in entries]:
+            self._connections.pop(entry).close()
 
     def close(self) -> None:
         """Close all connections."""
-        for conn in self._conns.values():
+        for conn in self._connections.values():
             conn.close()
-        self._conns.clear()
+        self._connections.clear()
 
-    def _statement(
+    def _send_statement(
         self,
         group: str,
         kind: str,
@@ -176,7 +180,7 @@
         staleness_ms: int | None,
     ) -> CallerAnswer:
         body = {
-            "token": self._token(),
+            "token": self._ensure_token(),
             "group": group,
             "kind": kind,
             "sql": sql,
@@ -187,7 +191,7 @@
         }
         return self.post("/v1/statements", body)
 
-    def _step(
+    def _send_step(
         self,
         group: str,
         step: str,
@@ -199,7 +203,7 @@
         key: str | None = None,
     ) -> CallerAnswer:
         body = {
-            "token": self._token(),
+            "token": self._ensure_token(),
             "group": group,
             "step": step,
             "transaction": transaction,
@@ -211,52 +215,54 @@
         }
         return self.post("/v1/transactions", body)
 
-    def _token(self) -> str:
+    def _ensure_token(self) -> str:
         return self.token or self.open()
 
     def _exchange(
         self, path: str, body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
-        conn = self._conn()
+        conn = self._connection()
         text = json.dumps(body)
         conn.request("POST", path, text, {"Content-Type": "application/json"})
         resp = conn.getresponse()
         data = json.loads(resp.read())
         if resp.will_close:
-            self._drop()
+            self._close_connection()
         return resp.status, data
 
-    def _conn(self) -> http.client.HTTPConnection:
-        conn = self._conns.get(self.entry)
+    def _connection(self) -> http.client.HTTPConnection:
+        conn = self._connections.get(self.entry)
         if conn is not None and _is_closed(conn):
-            # Closed by the entry while nothing was under way, as HTTP allows
-            # at any time. Sending on it would lose a request that nobody cut.
-            self._drop()
+            # The entry closed the idle connection, as HTTP allows at any
+            # time. A request on it would be lost without any fault.
+            self._close_connection()
             conn = None
         if conn is None:
             host, port = self.entry.rsplit(":", 1)
-            timeout = self.deadline_ms / 1000 + GRACE_SECONDS
+            timeout = self.deadline_ms / 1000 + ANSWER_GRACE_SECONDS
             conn = http.client.HTTPConnection(host, int(port), timeout=timeout)
             conn.connect()
             conn.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._conns[self.entry] = conn
+            self._connections[self.entry] = conn
         return conn
 
-    def _drop(self) -> None:
-        conn = self._conns.pop(self.entry, None)
+    def _close_connection(self) -> None:
+        conn = self._connections.pop(self.entry, None)
         if conn is not None:
             conn.close()
 
 
 def _is_closed(conn: http.client.HTTPConnection) -> bool:
-    """Tell whether the other end has closed an idle connection."""
+    """Return whether the peer has closed an idle connection."""
     if conn.sock is None:
         return True
     ready, _, _ = select.select([conn.sock], [], [], 0)
     return bool(ready)
 
 
-def _answer(data: dict[str, Any], status: int, seconds: float) -> CallerAnswer:
+def _parse_answer(
+    data: dict[str, Any], status: int, elapsed: float
+) -> CallerAnswer:
     return CallerAnswer(
         outcome=data.get("outcome") or ("done" if status == 200 else ""),
         reason=data.get("reason") or "",
@@ -274,5 +280,5 @@
         transaction=data.get("transaction") or "",
         token=data.get("token") or "",
         status=status,
-        elapsed=seconds,
+        elapsed=elapsed,
     )
--- a/bamboospring/testing/fault_proxy.py
+++ b/bamboospring/testing/fault_proxy.py
@@ -1,8 +1,8 @@
-"""A TCP proxy that cuts, freezes, silences or delays its links on order.
+"""A TCP proxy that cuts, freezes, silences or delays its links on request.
 
 Run it as `python -m bamboospring.testing.fault_proxy --listen 127.0.0.1:0`.
-The orders are in docs/PROTOCOLS.md; a link whose `listen` has port 0 gets a
-port chosen, and the answer names it.
+The requests are described in docs/PROTOCOLS.md. A link whose `listen` has port
+0 listens on a free port, which the answer contains.
 """
 
 from __future__ import annotations
@@ -22,33 +22,36 @@
 from bamboospring.testing.http_server import Reply
 from bamboospring.testing.http_server import Request
 from bamboospring.testing.http_server import serve_http
-from bamboospring.testing.loop_monitor import watch_loop
+from bamboospring.testing.loop_monitor import report_loop_delays
 
 __all__ = ["FaultProxy", "Link", "main"]
 
 READ_SIZE = 65536
 MODES = ("pass", "cut", "freeze", "silent", "delay")
 DIRECTIONS = ("both", "to_upstream", "to_client")
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Pair:
-    """One connection through a link: the two sockets' writers."""
+class ProxiedConnection:
+    """One connection through a link.
+
+    Data in `dropped_directions` is never forwarded.
+    """
 
     client: asyncio.StreamWriter
     upstream: asyncio.StreamWriter
     source: str
-    silent: set[str] = field(default_factory=set)
+    dropped_directions: set[str] = field(default_factory=set)
 
-    def reset(self) -> None:
+    def reset_both(self) -> None:
         """Close both sides with a TCP reset."""
-        reset(self.client)
-        reset(self.upstream)
+        reset_connection(self.client)
+        reset_connection(self.upstream)
 
 
 class Link:
-    """One listening port forwarded to one upstream, under one mode."""
+    """A listening port that is forwarded to one upstream in some mode."""
 
     def __init__(self, *, name: str, listen: str, upstream: str) -> None:
         self.name = name
@@ -58,15 +61,15 @@
         self.direction = "both"
         self.delay_ms = 0
         self.source = ""
-        self._pairs: set[Pair] = set()
-        self._thawed = asyncio.Event()
+        self._connections: set[ProxiedConnection] = set()
+        self._mode_changed = asyncio.Event()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; `listen` then names the port that was given."""
+        """Listen; `listen` then contains the actual port."""
         host, port = parse_address(self.listen)
         self._server = await asyncio.start_server(
-            self._accepted, host, port, backlog=1024
+            self._handle_accept, host, port, backlog=1024
         )
         self.listen = listening_address(self._server)
 
@@ -74,16 +77,17 @@
         """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
-        for pair in self._pairs:
-            pair.reset()
+        for conn in self._connections:
+            conn.reset_both()
 
     def set_mode(
         self, *, mode: str, direction: str, delay_ms: int, source: str = ""
     ) -> None:
-        """Change what happens to the link's connections from now on.
+        """Change the mode of the link.
 
-        With `source` only to those from this IP address: a region reaches a
-        place that another one does not.
+        With `source` the mode applies only to connections from this IP
+        address, so that a host can be reachable from one region but not from
+        another.
         """
         if mode not in MODES or direction not in DIRECTIONS:
             raise ValueError(f"unknown mode {mode} or direction {direction}")
@@ -92,14 +96,14 @@
         self.delay_ms = delay_ms
         self.source = source
         if mode == "cut":
-            self._cut()
+            self._reset_connections()
         if mode == "silent":
-            self._silence()
-        self._thawed.set()
-        self._thawed = asyncio.Event()
+            self._drop_directions()
+        self._mode_changed.set()
+        self._mode_changed = asyncio.Event()
 
     def as_json(self) -> dict[str, Any]:
-        """Return the link as the API shows it."""
+        """Return the link as it is in the API."""
         return {
             "name": self.name,
             "listen": self.listen,
@@ -108,84 +112,94 @@
             "direction": self.direction,
             "delay_ms": self.delay_ms,
             "source": self.source,
-            "connections": len(self._pairs),
+            "connections": len(self._connections),
         }
 
-    def _cut(self) -> None:
-        for pair in self._pairs:
-            if self._concerns(pair.source):
-                pair.reset()
+    def _reset_connections(self) -> None:
+        for conn in self._connections:
+            if self._matches_source(conn.source):
+                conn.reset_both()
 
-    def _silence(self) -> None:
-        silent = {"to_upstream", "to_client"}
+    def _drop_directions(self) -> None:
+        dropped = {"to_upstream", "to_client"}
         if self.direction != "both":
-            silent = {self.direction}
-        for pair in self._pairs:
-            if self._concerns(pair.source):
-                pair.silent |= silent
+            dropped = {self.direction}
+        for conn in self._connections:
+            if self._matches_source(conn.source):
+                conn.dropped_directions |= dropped
 
-    def _concerns(self, source: str) -> bool:
+    def _matches_source(self, source: str) -> bool:
         return self.source in ("", source)
 
-    def _applies(self, pair: Pair, mode: str, direction: str) -> bool:
-        here = self.direction in ("both", direction)
-        return self.mode == mode and here and self._concerns(pair.source)
+    def _is_mode_active(
+        self, conn: ProxiedConnection, mode: str, direction: str
+    ) -> bool:
+        direction_matches = self.direction in ("both", direction)
+        return (
+            self.mode == mode
+            and direction_matches
+            and self._matches_source(conn.source)
+        )
 
-    async def _accepted(
+    async def _handle_accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         source = writer.get_extra_info("peername")[0]
-        if self.mode == "cut" and self._concerns(source):
-            reset(writer)
+        if self.mode == "cut" and self._matches_source(source):
+            reset_connection(writer)
             return
         host, port = parse_address(self.upstream)
         try:
-            there = await asyncio.open_connection(host, port)
+            upstream_streams = await asyncio.open_connection(host, port)
         except OSError:
-            reset(writer)
+            reset_connection(writer)
             return
-        pair = Pair(client=writer, upstream=there[1], source=source)
+        conn = ProxiedConnection(
+            client=writer, upstream=upstream_streams[1], source=source
+        )
         set_nodelay(writer)
-        set_nodelay(there[1])
-        await self._run(pair, reader, there[0])
+        set_nodelay(upstream_streams[1])
+        await self._forward_both(conn, reader, upstream_streams[0])
 
-    async def _run(
+    async def _forward_both(
         self,
-        pair: Pair,
+        conn: ProxiedConnection,
         client: asyncio.StreamReader,
         upstream: asyncio.StreamReader,
     ) -> None:
-        self._pairs.add(pair)
+        self._connections.add(conn)
         try:
             await asyncio.gather(
-                self._pump(pair, client, pair.upstream, "to_upstream"),
-                self._pump(pair, upstream, pair.client, "to_client"),
+                self._forward(conn, client, conn.upstream, "to_upstream"),
+                self._forward(conn, upstream, conn.client, "to_client"),
             )
         except OSError:
-            # Also "not connected", which is no ConnectionError: the end of
-            # a stream came for a side that had been reset meanwhile.
-            pair.reset()
+            # Not only ConnectionError: the end of a stream that arrives
+            # after the other side was reset raises ENOTCONN, which is a
+            # plain OSError.
+            conn.reset_both()
         finally:
-            self._pairs.discard(pair)
-            pair.client.close()
-            pair.upstream.close()
+            self._connections.discard(conn)
+            conn.client.close()
+            conn.upstream.close()
 
-    async def _pump(
+    async def _forward(
         self,
-        pair: Pair,
+        conn: ProxiedConnection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         direction: str,
     ) -> None:
         """Forward one direction until its end.
 
-        Chunks pass through a queue so that a delay shifts each one without
-        adding up. The end of a stream is queued too: a close overtakes no
-        data, and none gets through a frozen or silent link.
+        Chunks pass through a queue, so that a delay applies to each chunk
+        once and does not accumulate. The end of the stream is queued too: a
+        close never overtakes data, and it does not pass a frozen or silent
+        link.
         """
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(256)
         sender = asyncio.create_task(
-            self._send(pair, queue, writer, direction)
+            self._send(conn, queue, writer, direction)
         )
         try:
             while True:
@@ -199,19 +213,19 @@
 
     async def _send(
         self,
-        pair: Pair,
+        conn: ProxiedConnection,
         queue: asyncio.Queue[tuple[float, bytes]],
         writer: asyncio.StreamWriter,
         direction: str,
     ) -> None:
         while True:
             read_at, data = await queue.get()
-            if self._applies(pair, "delay", direction):
-                due = read_at + self.delay_ms / 1000
-                await asyncio.sleep(due - time.monotonic())
-            while self._applies(pair, "freeze", direction):
-                await self._thawed.wait()
-            if direction in pair.silent:
+            if self._is_mode_active(conn, "delay", direction):
+                send_at = read_at + self.delay_ms / 1000
+                await asyncio.sleep(send_at - time.monotonic())
+            while self._is_mode_active(conn, "freeze", direction):
+                await self._mode_changed.wait()
+            if direction in conn.dropped_directions:
                 await asyncio.Event().wait()
             if not data:
                 if writer.can_write_eof():
@@ -221,28 +235,28 @@
             await writer.drain()
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that its other end sees a reset."""
+def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Close a connection with a TCP reset."""
     sock = writer.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
 def set_nodelay(writer: asyncio.StreamWriter) -> None:
-    """Send small chunks at once."""
+    """Send small chunks without delay (TCP_NODELAY)."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 class FaultProxy:
-    """The links and the HTTP orders over them."""
+    """The links and the HTTP API that controls them."""
 
     def __init__(self) -> None:
         self._links: dict[str, Link] = {}
 
     async def handle(self, conn: Connection, request: Request) -> Reply:
-        """Answer one order."""
+        """Answer one request."""
         try:
             return await self._route(request)
         except (KeyError, ValueError, OSError) as exc:
@@ -282,11 +296,11 @@
 
 
 async def serve(listen: str) -> None:
-    """Listen for orders until the process ends."""
+    """Serve the HTTP API until the process ends."""
     proxy = FaultProxy()
     server = await serve_http(listen, proxy.handle)
     print(f"listening {listening_address(server)}", flush=True)
-    await asyncio.gather(server.serve_forever(), watch_loop())
+    await asyncio.gather(server.serve_forever(), report_loop_delays())
 
 
 def main() -> None:
--- a/bamboospring/testing/fleet.py
+++ b/bamboospring/testing/fleet.py
@@ -1,12 +1,12 @@
-"""Start and stop a whole estate of real processes.
+"""Starts and stops a fleet of real processes.
 
-The platform stand-in, optionally a fault proxy, the target stand-ins and the
-VMs that run `bamboospring serve` are all children of this process and are
-ended by their own ids when the fleet closes, also on an error.
+The platform stand-in, the optional fault proxy, the target stand-ins and the
+VMs that run `bamboospring serve` are children of this process. They are
+terminated by their process ids when the fleet closes, also after an error.
 
 Example::
 
-    with Fleet(estate=CARPATICA, links=True) as fleet:
+    with Fleet(topology=CARPATICA, links=True) as fleet:
         fleet.freeze(fleet.primary("baze-comutare-1"))
         answer = Caller(entries=fleet.entries()).write(...)
 """
@@ -41,21 +41,22 @@
 from bamboospring.testing.topology import Topology
 
 __all__ = [
-    "REMOTE_REGION_ADDRESS",
+    "call_json",
     "Fleet",
     "FleetTarget",
     "FleetVm",
     "LOCAL_REGION_ADDRESS",
-    "call_json",
+    "REMOTE_REGION_ADDRESS",
     "wait_until",
 ]
 
-START_SECONDS = 20.0
-READY_SECONDS = 30.0
-STOP_SECONDS = 5.0
-TERMINATED = 128 + signal.SIGTERM
+START_TIMEOUT = 20.0
+READY_TIMEOUT = 30.0
+STOP_TIMEOUT = 5.0
+SIGTERM_EXIT_CODE = 128 + signal.SIGTERM
 CONTROL_TIMEOUT = 5.0
-# What processes of the two regions connect from, for the fault proxy.
+# The source addresses of the processes of each region, by which the fault
+# proxy distinguishes them.
 LOCAL_REGION_ADDRESS = "127.0.0.1"
 REMOTE_REGION_ADDRESS = "127.0.0.2"
 PLATFORM = "platform"
@@ -65,12 +66,12 @@
 
 
 class CallFailed(RuntimeError):
-    """A control call to a stand-in was answered with an error."""
+    """A control call to a stand-in returned an error status."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetTarget:
-    """One target stand-in. `address` is what the VMs are told."""
+    """One target stand-in; VMs connect to `address`."""
 
     name: str
     group: str
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetVm:
-    """One VM. `entry` and `peers` are what callers and peers are told."""
+    """One VM; callers connect to `entry`, other VMs to `peers`."""
 
     name: str
     zone: str
@@ -105,14 +106,14 @@
 ) -> Any:
     """Make one HTTP/JSON call and return the decoded answer.
 
-    Raises `CallFailed` on an error status and `OSError` when the other side
-    can't be reached within `timeout` seconds.
+    Raises `CallFailed` on an error status and `OSError` if the server can't
+    be reached within `timeout` seconds.
     """
     host, port = address.rsplit(":", 1)
     conn = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
-        text = None if body is None else json.dumps(body)
-        conn.request(method, path, text, headers or {})
+        payload = None if body is None else json.dumps(body)
+        conn.request(method, path, payload, headers or {})
         resp = conn.getresponse()
         data = resp.read()
     except http.client.HTTPException as exc:
@@ -127,34 +128,36 @@
 def wait_until(
     condition: Callable[[], Any], *, seconds: float, what: str
 ) -> Any:
-    """Poll until `check` returns something true, and return that.
+    """Poll until `condition` returns a true value, and return that value.
 
-    Errors of calls count as "not yet". Raises `StartFailed` after `seconds`
-    with the last error.
+    A failed call counts as false. Raises `StartFailed` with the last error
+    after `seconds`.
     """
-    end = time.monotonic() + seconds
-    last: Exception | None = None
-    while time.monotonic() < end:
+    deadline = time.monotonic() + seconds
+    last_error: Exception | None = None
+    while time.monotonic() < deadline:
         try:
-            found = condition()
+            result = condition()
         except (OSError, CallFailed, KeyError, ValueError) as exc:
-            found, last = None, exc
-        if found:
-            return found
+            result, last_error = None, exc
+        if result:
+            return result
         time.sleep(0.05)
-    raise StartFailed(f"gave up after {seconds} s: {what} (last: {last!r})")
+    raise StartFailed(
+        f"timed out after {seconds} s: {what} (last: {last_error!r})"
+    )
 
 
 class Fleet:
-    """A running estate. Use it as a context manager.
-
-    With `links` every target, peer, entry and VM's way to the platform is
-    behind a link of the fault proxy: `target:<name>`, `peers:<vm>`,
-    `entry:<vm>` and `platform:<vm>`. With `bootstrap` the fleet makes the
-    first member of each group primary of term 1 itself; without it the
-    stewards have to. `settings` is merged into each VM's settings file.
-    `relay` returns what VMs are told in place of the platform's or a target's
-    address.
+    """A running fleet, for use as a context manager.
+
+    With `links`, connections to targets, peers, entries and the platform go
+    through links of the fault proxy: `target:<name>`, `peers:<vm>`,
+    `entry:<vm>` and `platform:<vm>`. With `bootstrap` the fleet itself makes
+    the first member of each group primary of term 1; otherwise the stewards
+    do. `settings` is merged into each VM's settings file. `map_address`
+    returns the address that VMs use instead of that of the platform or of a
+    target.
     """
 
     def __init__(
@@ -205,18 +208,18 @@
     ) -> None:
         self.close()
 
-    # -- bringing it up and down
+    # -- start and stop
 
     def start(self) -> None:
-        """Bring everything up and wait until each VM takes callers."""
-        self._choose_addresses()
+        """Start all processes and wait until each VM accepts callers."""
+        self._allocate_addresses()
         self._start_platform()
         self._start_fault_proxy()
         self._start_targets()
         if self.bootstrap:
             self._promote_first_members()
         self._write_groups()
-        self._write_rows()
+        self._write_table_rows()
         self.publish_vms()
         for name in self.vms:
             self._start_vm(name)
@@ -224,7 +227,7 @@
             self.wait_vm(name)
 
     def close(self) -> None:
-        """End all processes of this fleet and remove its directory."""
+        """Terminate all processes of this fleet and remove its directory."""
         if self._closed:
             return
         self._closed = True
@@ -232,14 +235,14 @@
         for process in processes:
             process.thaw()
             process.terminate()
-        end = time.monotonic() + STOP_SECONDS
+        end = time.monotonic() + STOP_TIMEOUT
         for process in processes:
             process.stop(max(0.0, end - time.monotonic()))
         self._ports.close()
         shutil.rmtree(self.directory, ignore_errors=True)
         atexit.unregister(self.close)
 
-    def wait_vm(self, name: str, seconds: float = READY_SECONDS) -> None:
+    def wait_vm(self, name: str, seconds: float = READY_TIMEOUT) -> None:
         """Wait until a VM accepts callers' connections."""
         address = self.vms[name].callers_listen
         process = self._processes[name]
@@ -247,7 +250,7 @@
         def listening() -> bool:
             if not process.running:
                 raise StartFailed(f"{name} ended:\n{process.tail()}")
-            return _accepts(address)
+            return _is_accepting(address)
 
         wait_until(listening, seconds=seconds, what=f"{name} to listen")
 
@@ -255,15 +258,15 @@
         self,
         groups: Iterable[str] | None = None,
         *,
-        seconds: float = READY_SECONDS,
+        seconds: float = READY_TIMEOUT,
         entries: Iterable[str] | None = None,
     ) -> None:
-        """Wait until a read of each group is done through each entry."""
-        wanted = tuple(self.topology.groups if groups is None else groups)
+        """Wait until a read of each group succeeds through each entry."""
+        group_names = tuple(self.topology.groups if groups is None else groups)
         for entry in self.entries() if entries is None else entries:
-            for group in wanted:
+            for group in group_names:
                 wait_until(
-                    lambda e=entry, g=group: _serves(e, g),  # type: ignore
+                    lambda e=entry, g=group: _is_serving(e, g),  # type: ignore
                     seconds=seconds,
                     what=f"{group} through {entry}",
                 )
@@ -271,28 +274,29 @@
     # -- faults
 
     def kill(self, name: str) -> None:
-        """End a process at once (SIGKILL)."""
+        """Kill a process (SIGKILL)."""
         self._processes[name].kill()
 
     def freeze(self, name: str) -> None:
-        """Stop a process without ending it (SIGSTOP)."""
+        """Suspend a process (SIGSTOP)."""
         self._processes[name].freeze()
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self._processes[name].thaw()
 
     def terminate(self, name: str) -> None:
-        """Ask a process to shut down (SIGTERM); does not wait."""
+        """Ask a process to shut down (SIGTERM) without waiting."""
         self._processes[name].terminate()
 
     def add_entry_process(
         self, vm: str, number: int = 1, *, wait: bool = True
     ) -> FleetVm:
-        """Start an entry-only process beside a VM's main process.
+        """Start an entry-only process next to a VM's main process.
 
-        It takes callers where the VM does, which needs the settings
-        `callers.reuse_port`. With `wait` it is ready on return.
+        It accepts callers on the same port as the VM, which requires the
+        setting `callers.reuse_port`. With `wait` the process is ready on
+        return.
         """
         main = self.vms[vm]
         process = dataclasses.replace(
@@ -301,7 +305,7 @@
             peers_listen=self._ports.reserve(),
             operators_listen=self._ports.reserve(),
         )
-        settings = self._settings_of(process)
+        settings = self._vm_settings(process)
         settings["entry"] = {"only": True, "of": vm, "main": main.peers}
         self.entry_processes[process.name] = process
         self._start_serve(process.name, settings)
@@ -312,12 +316,12 @@
     def _wait_ready(self, vm: FleetVm) -> None:
         wait_until(
             lambda: call_json(vm.operators_listen, "GET", "/readyz"),
-            seconds=READY_SECONDS,
+            seconds=READY_TIMEOUT,
             what=f"{vm.name} to be ready",
         )
 
     def restart(self, name: str) -> None:
-        """Kill a process if it runs and start it again where it was."""
+        """Kill a process if it runs and start it on the same addresses."""
         process = self._processes[name]
         process.kill()
         process.start()
@@ -326,7 +330,7 @@
         elif name in self.entry_processes:
             self._wait_ready(self.entry_processes[name])
         else:
-            process.wait_listening(START_SECONDS)
+            process.wait_listening(START_TIMEOUT)
 
     def set_link_mode(
         self,
@@ -337,7 +341,7 @@
         delay_ms: int = 0,
         source: str = "",
     ) -> None:
-        """Set the mode of a link of the fault proxy (see PROTOCOLS)."""
+        """Set the mode of a fault proxy link (see docs/PROTOCOLS.md)."""
         body = {
             "mode": mode,
             "direction": direction,
@@ -349,10 +353,10 @@
     def change_primary(
         self, group: str, name: str, *, without: Iterable[str] = ()
     ) -> int:
-        """Make a member primary of a new term by hand; return its start.
+        """Make a member primary of a new term; return the start of the term.
 
-        The targets in `without` hear nothing of it, as if cut off. The
-        platform is not told; `write_group` does that.
+        The targets in `without` are not contacted, as if unreachable. The
+        platform's object is not updated; `write_group` does that.
         """
         members = [t for t in self.members(group) if t.name not in without]
         term = 1 + max(self.probe(t.name)["term"] for t in members)
@@ -367,32 +371,32 @@
         return int(promoted["start"])
 
     def write_group(self, group: str, primary: str) -> None:
-        """Write a new term's primary and start into the platform's object."""
+        """Store a new term's primary and start in the platform's object."""
         value = self.object("group", group)["value"]
-        found = self.probe(primary)
-        value["term"] = found["term"]
+        state = self.probe(primary)
+        value["term"] = state["term"]
         value["primary"] = primary
-        start = {"term": found["term"], "index": found["start"]}
+        start = {"term": state["term"], "index": state["start"]}
         value["starts"] = [*value["starts"], start]
         self.put_object("group", group, value)
 
     def set_platform_faults(self, **faults: Any) -> None:
-        """Set the platform stand-in's faults (see PROTOCOLS)."""
+        """Set the platform stand-in's faults (see docs/PROTOCOLS.md)."""
         call_json(self._platform_address, "POST", "/faults", faults)
 
     def set_target(self, name: str, **settings: Any) -> None:
-        """Set knobs of a target stand-in, for example `apply_lag_ms`."""
+        """Change settings of a target stand-in, for example `apply_lag_ms`."""
         address = self.targets[name].listen
         call_json(address, "POST", "/settings", settings)
 
-    # -- looking at it
+    # -- inspection
 
     def process(self, name: str) -> ManagedProcess:
         """Return the process of a VM, target or stand-in."""
         return self._processes[name]
 
     def entries(self) -> list[str]:
-        """Return the addresses that callers use, one for each VM."""
+        """Return the addresses that callers connect to, one per VM."""
         return [vm.entry for vm in self.vms.values()]
 
     def members(self, group: str) -> list[FleetTarget]:
@@ -400,11 +404,11 @@
         return [t for t in self.targets.values() if t.group == group]
 
     def probe(self, name: str) -> dict[str, Any]:
-        """Ask a target directly for its term, role and positions."""
+        """Return a target's term, role and positions, asked directly."""
         return call_json(self.targets[name].listen, "GET", "/probe")
 
     def primary(self, group: str) -> str:
-        """Return the name of the group's primary, as the platform has it."""
+        """Return the name of the group's primary in the platform's object."""
         return str(self.object("group", group)["value"]["primary"])
 
     def replicas(self, group: str) -> list[str]:
@@ -432,7 +436,7 @@
         return [name for name in self.vms if name not in holders]
 
     def counters(self, name: str) -> dict[str, Any]:
-        """Return the counters of a target, or of `platform`."""
+        """Return the counters of a target, or those of `platform`."""
         if name == PLATFORM:
             address = self._platform_address
         else:
@@ -440,7 +444,7 @@
         return call_json(address, "GET", "/counters")
 
     def object(self, kind: str, name: str) -> dict[str, Any]:
-        """Return an object of the platform with its version."""
+        """Return an object of the platform, with its version."""
         path = f"/objects/{kind}/{name}"
         return call_json(self._platform_address, "GET", path)
 
@@ -452,18 +456,18 @@
             version = 0
         body = {"if_version": version, "value": value}
         path = f"/objects/{kind}/{name}"
-        found = call_json(self._platform_address, "PUT", path, body)
-        return int(found["version"])
+        stored = call_json(self._platform_address, "PUT", path, body)
+        return int(stored["version"])
 
     def query(
         self, target: str, sql: str, params: Iterable[Any] = ()
     ) -> list[list[Any]]:
-        """Run a read directly at a target, past the proxy."""
+        """Run a read directly at a target, without the proxy."""
         address = self.targets[target].listen
         host, port = address.rsplit(":", 1)
         conn = http.client.HTTPConnection(host, int(port), timeout=10)
         try:
-            _exchange(conn, "/connect", {"id": 1, "holder": "checker"})
+            _post_json(conn, "/connect", {"id": 1, "holder": "checker"})
             body = {
                 "id": 2,
                 "term": 0,
@@ -476,7 +480,7 @@
                 "min_index": 0,
                 "deadline_ms": 5000,
             }
-            answer = _exchange(conn, "/execute", body)
+            answer = _post_json(conn, "/execute", body)
         finally:
             conn.close()
         if answer["outcome"] != "ok":
@@ -484,7 +488,7 @@
         return list(answer["rows"])
 
     def tail(self, lines: int = 15) -> str:
-        """Return the last lines of each process, for a failed test."""
+        """Return the last log lines of each process, for a failed test."""
         parts = []
         for name, process in self._processes.items():
             text = process.tail(lines)
@@ -494,25 +498,25 @@
     def publish_vms(
         self, leaving: Iterable[str] = (), *, without: Iterable[str] = ()
     ) -> None:
-        """Write the list of VMs, some as leaving, some not at all."""
-        gone = set(leaving)
-        hidden = set(without)
+        """Publish the list of VMs; those in `without` are not listed."""
+        leaving_names = set(leaving)
+        omitted = set(without)
         vms = [
             {
                 "name": vm.name,
                 "address": vm.peers,
                 "availability_zone": vm.zone,
                 "region": self.topology.region_of(vm.name),
-                "state": "leaving" if vm.name in gone else "live",
+                "state": "leaving" if vm.name in leaving_names else "live",
             }
             for vm in self.vms.values()
-            if vm.name not in hidden
+            if vm.name not in omitted
         ]
         call_json(self._platform_address, "PUT", "/vms", {"vms": vms})
 
-    # -- steps of the start
+    # -- start-up steps
 
-    def _choose_addresses(self) -> None:
+    def _allocate_addresses(self) -> None:
         for name, number in self._target_names():
             group = name.rsplit("-m", 1)[0]
             listen = self._ports.reserve()
@@ -527,7 +531,7 @@
         self._platform_address = self._ports.reserve()
         self._proxy_address = self._ports.reserve()
         for number in range(self._vm_count):
-            vm = self._choose_vm(number)
+            vm = self._allocate_vm(number)
             self.vms[vm.name] = vm
 
     def _target_names(self) -> Iterable[tuple[str, int]]:
@@ -538,7 +542,7 @@
     def _site(self, number: int) -> str:
         return self.topology.sites[number % len(self.topology.sites)]
 
-    def _choose_vm(self, number: int) -> FleetVm:
+    def _allocate_vm(self, number: int) -> FleetVm:
         callers = self._ports.reserve()
         peers = self._ports.reserve()
         linked = self.links
@@ -587,24 +591,24 @@
             "--vm-list-lag-ms",
             str(self.vm_list_lag_ms),
         )
-        process.wait_listening(START_SECONDS)
+        process.wait_listening(START_TIMEOUT)
 
     def _start_fault_proxy(self) -> None:
         if not self.links:
             return
-        links = self._planned_links()
+        links = self._link_definitions()
         process = self._spawn(
             FAULT_PROXY,
             "bamboospring.testing.fault_proxy",
             "--listen",
             self._proxy_address,
         )
-        process.wait_listening(START_SECONDS)
+        process.wait_listening(START_TIMEOUT)
         for name, listen, upstream in links:
             body = {"name": name, "listen": listen, "upstream": upstream}
             call_json(self._proxy_address, "POST", "/links", body)
 
-    def _planned_links(self) -> list[tuple[str, str, str]]:
+    def _link_definitions(self) -> list[tuple[str, str, str]]:
         links = [
             (f"target:{t.name}", t.address, t.listen)
             for t in self.targets.values()
@@ -623,10 +627,10 @@
         for target in self.targets.values():
             self._start_target(target, schema)
         for name in self.targets:
-            self._processes[name].wait_listening(START_SECONDS)
+            self._processes[name].wait_listening(START_TIMEOUT)
 
     def _start_target(self, target: FleetTarget, schema: pathlib.Path) -> None:
-        estate = self.topology
+        topology = self.topology
         data = self.directory / target.name
         data.mkdir()
         options = {
@@ -636,12 +640,12 @@
             "--group": target.group,
             "--availability-zone": target.zone,
             "--site": target.site,
-            "--slots": str(estate.slots),
-            "--connections": str(estate.connections),
-            "--connect-ms": str(estate.connect_ms),
-            "--statement-ms": str(estate.statement_ms),
-            "--apply-lag-ms": str(estate.apply_lag_ms),
-            "--receive-lag-ms": str(estate.receive_lag_ms),
+            "--slots": str(topology.slots),
+            "--connections": str(topology.connections),
+            "--connect-ms": str(topology.connect_ms),
+            "--statement-ms": str(topology.statement_ms),
+            "--apply-lag-ms": str(topology.apply_lag_ms),
+            "--receive-lag-ms": str(topology.receive_lag_ms),
             "--schema": str(schema),
         }
         args = [text for pair in options.items() for text in pair]
@@ -661,7 +665,7 @@
         for group in self.topology.groups:
             members = self.members(group)
             value: dict[str, Any] = {
-                "targets": [self._target_value(t) for t in members],
+                "targets": [self._target_object(t) for t in members],
                 "term": 0,
                 "primary": "",
                 "starts": [],
@@ -673,7 +677,7 @@
                 value["starts"] = [{"term": 1, "index": start}]
             self.put_object("group", group, value)
 
-    def _target_value(self, target: FleetTarget) -> dict[str, Any]:
+    def _target_object(self, target: FleetTarget) -> dict[str, Any]:
         return {
             "name": target.name,
             "address": self.map_address(target.address),
@@ -683,8 +687,8 @@
             "connections": self.topology.connections,
         }
 
-    def _write_rows(self) -> None:
-        # Imported here: only tables with rows need the hash.
+    def _write_table_rows(self) -> None:
+        # Imported here because only fleets with table rows need the hash.
         if not self.table_rows:
             return
         from xxhash import xxh64_intdigest
@@ -697,14 +701,14 @@
             self.put_object("table", str(shard), {"rows": rows})
 
     def _start_vm(self, name: str) -> None:
-        self._start_serve(name, self._settings_of(self.vms[name]))
+        self._start_serve(name, self._vm_settings(self.vms[name]))
 
     def _start_serve(self, name: str, settings: dict[str, Any]) -> None:
         path = self.directory / f"{name}.json"
         path.write_text(json.dumps(settings, indent=1))
         self._spawn(name, "bamboospring", "serve", "--settings", str(path))
 
-    def _settings_of(self, vm: FleetVm) -> dict[str, Any]:
+    def _vm_settings(self, vm: FleetVm) -> dict[str, Any]:
         base: dict[str, Any] = {
             "vm": vm.name,
             "availability_zone": vm.zone,
@@ -718,40 +722,42 @@
             "platform": {"address": self.map_address(vm.platform)},
             "token_keys": TOKEN_KEYS,
         }
-        return _merged(base, self.settings)
+        return _merge_settings(base, self.settings)
 
 
 def _exit_on_sigterm() -> None:
-    """Turn SIGTERM into an ordinary exit, so that `atexit` is heeded.
+    """Turn SIGTERM into an ordinary exit, so that `atexit` handlers run.
 
-    By default the signal ends this process at once and leaves the fleet's
-    processes running without a parent.
+    By default the signal ends this process immediately, and the processes of
+    the fleet continue to run as orphans.
     """
     if threading.current_thread() is not threading.main_thread():
         return
     if signal.getsignal(signal.SIGTERM) is signal.SIG_DFL:
-        signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED))
+        signal.signal(signal.SIGTERM, lambda *_: sys.exit(SIGTERM_EXIT_CODE))
 
 
-def _merged(base: dict[str, Any], extra: dict[str, Any]) -> dict[str, Any]:
-    """Return `base` with `extra` laid over it, section by section."""
+def _merge_settings(
+    base: dict[str, Any], extra: dict[str, Any]
+) -> dict[str, Any]:
+    """Return `base` with the values of `extra` merged in recursively."""
     result = dict(base)
     for key, value in extra.items():
         old = result.get(key)
         if isinstance(old, dict) and isinstance(value, dict):
-            result[key] = _merged(old, value)
+            result[key] = _merge_settings(old, value)
         else:
             result[key] = value
     return result
 
 
-def _accepts(address: str) -> bool:
+def _is_accepting(address: str) -> bool:
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port)), timeout=1.0):
         return True
 
 
-def _serves(entry: str, group: str) -> bool:
+def _is_serving(entry: str, group: str) -> bool:
     session = call_json(entry, "POST", "/v1/sessions", {"caller": "ready"})
     body = {
         "token": session["token"],
@@ -765,7 +771,7 @@
     return bool(answer["outcome"] == "done")
 
 
-def _exchange(
+def _post_json(
     conn: http.client.HTTPConnection, path: str, body: dict[str, Any]
 ) -> dict[str, Any]:
     conn.request("POST", path, json.dumps(body))
--- a/bamboospring/testing/http_server.py
+++ b/bamboospring/testing/http_server.py
@@ -1,8 +1,8 @@
 """A small HTTP/1.1 server on asyncio for the stand-ins.
 
 Requests of one connection are handled in order. A handler returns a `Reply`,
-or `CLOSE` to drop the connection without an answer, as a failing service
-would.
+or `CLOSE` to close the connection without an answer, as a failing service
+does.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 READ_SIZE = 65536
 CLOSE = None
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     204: "No Content",
     400: "Bad Request",
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Request:
-    """One request; `path` is split at slashes and unquoted."""
+    """One request; `path` is split at slashes and percent-decoded."""
 
     method: str
     path: list[str]
@@ -57,13 +57,13 @@
     body: bytes
 
     def json(self) -> Any:
-        """Return the decoded body; an empty body is an empty object."""
+        """Return the decoded body; an empty body counts as an empty object."""
         return orjson.loads(self.body) if self.body else {}
 
 
 @dataclass(slots=True, kw_only=True)
 class Reply:
-    """An answer with a JSON body; `close` ends the connection after it."""
+    """An answer with a JSON body; `close` closes the connection after it."""
 
     status: int = 200
     body: Any = None
@@ -75,9 +75,9 @@
 
 
 class Connection:
-    """One accepted connection: parses requests, writes answers.
+    """One accepted connection: parses requests and writes answers.
 
-    `context` belongs to the handler, for what it keeps per connection.
+    `context` is available to the handler for state of the connection.
     """
 
     def __init__(
@@ -93,34 +93,34 @@
         self._writer = writer
         self._handler = handler
         self._parser = httptools.HttpRequestParser(self)
-        self._complete: list[Request] = []
+        self._requests: list[Request] = []
         self._url = b""
         self._headers: dict[str, str] = {}
         self._body = b""
 
     def on_message_begin(self) -> None:
-        """Start a request (called by the parser)."""
+        """Reset the state for a new request (parser callback)."""
         self._url = b""
         self._headers = {}
         self._body = b""
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the URL (called by the parser)."""
+        """Append a part of the URL (parser callback)."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header (called by the parser)."""
+        """Store a header (parser callback)."""
         self._headers[name.decode().lower()] = value.decode()
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body (called by the parser)."""
+        """Append a part of the body (parser callback)."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Finish a request (called by the parser)."""
+        """Queue the complete request (parser callback)."""
         url = urlsplit(self._url.decode())
         query = {k: v[-1] for k, v in parse_qs(url.query).items()}
-        self._complete.append(
+        self._requests.append(
             Request(
                 method=self._parser.get_method().decode(),
                 path=[unquote(p) for p in url.path.split("/") if p],
@@ -131,13 +131,13 @@
         )
 
     def close(self) -> None:
-        """Drop the connection at once, without what is not yet sent."""
+        """Close the connection immediately and discard unsent data."""
         self._writer.transport.abort()
 
     async def run(self) -> None:
-        """Serve requests until either side closes."""
+        """Handle requests until either side closes the connection."""
         try:
-            while await self._serve_some():
+            while await self._handle_requests():
                 pass
         except (ConnectionError, httptools.HttpParserError):
             pass
@@ -146,27 +146,30 @@
                 self.on_close()
             self._writer.close()
 
-    async def _serve_some(self) -> bool:
+    async def _handle_requests(self) -> bool:
         data = await self._reader.read(READ_SIZE)
         if not data:
             return False
         self._parser.feed_data(data)
-        while self._complete:
-            request = self._complete.pop(0)
+        while self._requests:
+            request = self._requests.pop(0)
             reply = await self._handler(self, request)
             if reply is CLOSE:
                 self.close()
                 return False
-            self._writer.write(encode(reply))
+            self._writer.write(encode_reply(reply))
             await self._writer.drain()
             if reply.close:
                 return False
         return True
 
 
-def encode(reply: Reply) -> bytes:
-    """Return the bytes of an answer."""
-    lines = [f"HTTP/1.1 {reply.status} {REASONS.get(reply.status, 'Unknown')}"]
+def encode_reply(reply: Reply) -> bytes:
+    """Return an answer in the wire format."""
+    lines = [
+        f"HTTP/1.1 {reply.status} "
+        f"{REASON_PHRASES.get(reply.status, 'Unknown')}"
+    ]
     body = b""
     if reply.status != HTTPStatus.NO_CONTENT:
         body = orjson.dumps(reply.body)
@@ -179,13 +182,13 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split "ip:port"."""
+    """Split `ip:port` into host and port."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 async def serve_http(address: str, handler: Handler) -> asyncio.Server:
-    """Listen on "ip:port" and hand every request to the handler."""
+    """Listen on `ip:port` and pass each request to the handler."""
 
     async def accepted(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -198,6 +201,6 @@
 
 
 def listening_address(server: asyncio.Server) -> str:
-    """Return the "ip:port" that a server got."""
+    """Return the `ip:port` on which a server listens."""
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
--- a/bamboospring/testing/job_runner.py
+++ b/bamboospring/testing/job_runner.py
@@ -1,8 +1,9 @@
-"""Run jobs of a scenario as a careful caller would, and keep the score.
+"""Runs the jobs of a scenario with retries and collects statistics.
 
-A refusal that says that nothing ran is tried again after `retry_after_ms`;
-an unknown or lost answer is tried again with the same key through another
-entry. So each step ends acknowledged, or is left open when time is up.
+A refusal which states that nothing ran is retried after `retry_after_ms`; an
+unknown or lost answer is retried with the same key through another entry.
+Each step is therefore acknowledged in the end, or counted as unfinished when
+the time is over.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 __all__ = ["JobRunner", "RequestStats"]
 
 MAX_MICROSECONDS = 60_000_000
-MAX_PAUSE_SECONDS = 1.0
-MIN_PAUSE_SECONDS = 0.01
+MAX_BACKOFF_SECONDS = 1.0
+MIN_BACKOFF_SECONDS = 0.01
 
 
 def _histogram() -> HdrHistogram:
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class RequestStats:
-    """What happened to the requests of some callers."""
+    """Statistics of the requests of one or more callers."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
     reads: int = 0
@@ -50,7 +51,7 @@
     write_us: HdrHistogram = field(default_factory=_histogram)
 
     def add(self, other: RequestStats) -> None:
-        """Add another tally to this one."""
+        """Add the statistics of `other`."""
         self.outcomes += other.outcomes
         self.reads += other.reads
         self.reads_at_replicas += other.reads_at_replicas
@@ -65,12 +66,12 @@
         self.write_us.add(other.write_us)
 
     def replica_share(self) -> float:
-        """Return the share of answered reads that replicas served."""
+        """Return the share of successful reads that replicas served."""
         return self.reads_at_replicas / self.reads if self.reads else 0.0
 
 
 class JobRunner:
-    """Runs jobs with one caller until told to stop."""
+    """Runs jobs with one caller until the monotonic time `stop_at`."""
 
     def __init__(
         self, *, caller: Caller, scenario: Scenario, stop_at: float
@@ -81,19 +82,19 @@
         self._stop_at = stop_at
 
     def run(self, job: Job) -> None:
-        """Run all steps of a job, reading its status after each."""
+        """Run all steps of a job and check its status after each."""
         for number, step in enumerate(job.steps, start=1):
-            if not self._run_step(job, step):
+            if not self._run_step_until_done(job, step):
                 self.stats.steps_unfinished += 1
                 return
             self.stats.steps_acknowledged += 1
             self.stats.acknowledged.append((job.group, step.key))
             self._caller.roam()
             self._check_status(job, number)
-            self._look_up(job)
+            self._run_lookups(job)
         self.stats.jobs += 1
 
-    def _run_step(self, job: Job, step: Step) -> bool:
+    def _run_step_until_done(self, job: Job, step: Step) -> bool:
         while time.monotonic() < self._stop_at:
             answer = self._try_step(job, step)
             if answer.done:
@@ -101,7 +102,7 @@
                 return True
             if answer.outcome == "failed" and answer.reason == "sql":
                 raise RuntimeError(f"{step.key}: {answer}")
-            self._pause(answer)
+            self._back_off(answer)
         return False
 
     def _try_step(self, job: Job, step: Step) -> CallerAnswer:
@@ -131,16 +132,16 @@
             self._caller.commit(job.group, handle, key=step.key)
         )
 
-    def _check_status(self, job: Job, wanted: int) -> None:
+    def _check_status(self, job: Job, min_status: int) -> None:
         answer = self._read(job, job.status, None)
         if answer is None:
             return
         if not answer.rows or len(answer.rows[0]) != 1:
             self.stats.wrong_answers += 1
-        elif answer.rows[0][0] < wanted:
+        elif answer.rows[0][0] < min_status:
             self.stats.stale_reads += 1
 
-    def _look_up(self, job: Job) -> None:
+    def _run_lookups(self, job: Job) -> None:
         for _ in range(self._scenario.lookups_per_step):
             self._read(job, job.lookup, self._scenario.staleness_ms)
 
@@ -157,13 +158,13 @@
                 self.stats.reads_at_replicas += answer.at_replica
                 self.stats.read_us.record_value(_microseconds(answer))
                 return answer
-            self._pause(answer)
+            self._back_off(answer)
         return None
 
-    def _pause(self, answer: CallerAnswer) -> None:
+    def _back_off(self, answer: CallerAnswer) -> None:
         self._caller.roam()
         seconds = answer.retry_after_ms / 1000
-        time.sleep(min(MAX_PAUSE_SECONDS, max(MIN_PAUSE_SECONDS, seconds)))
+        time.sleep(min(MAX_BACKOFF_SECONDS, max(MIN_BACKOFF_SECONDS, seconds)))
 
     def _count_write(self, answer: CallerAnswer) -> CallerAnswer:
         self._count(answer)
--- a/bamboospring/testing/loop_monitor.py
+++ b/bamboospring/testing/loop_monitor.py
@@ -1,7 +1,8 @@
-"""Tell when a stand-in's event loop stood still.
+"""Reports delays of a stand-in's event loop.
 
-A stand-in that gets no processor time, or waits for a disk, looks to others
-like one that is silent. Its log then says so, and a test that fails shows it.
+A stand-in that gets no CPU time or waits for a disk appears unresponsive to
+other processes. Its log then contains a line about the delay, which is shown
+when a test fails.
 """
 
 from __future__ import annotations
@@ -9,18 +10,18 @@
 import asyncio
 import time
 
-__all__ = ["watch_loop"]
+__all__ = ["report_loop_delays"]
 
-LOOK = 0.1
-# Seconds late; the shortest silence that VMs judge by is 0.5 s.
-LATE = 0.3
+CHECK_INTERVAL = 0.1
+# Seconds. VMs regard a process as unresponsive after 0.5 s at the earliest.
+MAX_DELAY = 0.3
 
 
-async def watch_loop() -> None:
-    """Print a line whenever this loop was late; run it as a task."""
+async def report_loop_delays() -> None:
+    """Print a line whenever this event loop was delayed; run as a task."""
     while True:
-        due = time.monotonic() + LOOK
-        await asyncio.sleep(LOOK)
-        late = time.monotonic() - due
-        if late > LATE:
-            print(f"loop_late seconds={late:.2f}", flush=True)
+        due = time.monotonic() + CHECK_INTERVAL
+        await asyncio.sleep(CHECK_INTERVAL)
+        delay = time.monotonic() - due
+        if delay > MAX_DELAY:
+            print(f"loop_late seconds={delay:.2f}", flush=True)
--- a/bamboospring/testing/platform.py
+++ b/bamboospring/testing/platform.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform's object API, with switchable faults.
 
 Run it as `python -m bamboospring.testing.platform --listen 127.0.0.1:0`. The
-protocol, with its test knobs, is in docs/PROTOCOLS.md.
+protocol, including the control requests for tests, is in docs/PROTOCOLS.md.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from bamboospring.testing.http_server import Reply
 from bamboospring.testing.http_server import Request
 from bamboospring.testing.http_server import serve_http
-from bamboospring.testing.loop_monitor import watch_loop
+from bamboospring.testing.loop_monitor import report_loop_delays
 
 __all__ = ["ObjectStore", "Platform", "VmList", "main"]
 
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoredObject:
-    """One object; a deleted one stays as a version without a value."""
+    """One object; a deleted object keeps its version and has no value."""
 
     kind: str
     name: str
@@ -44,7 +44,7 @@
     revision: int = 0
 
     def as_json(self) -> dict[str, Any]:
-        """Return the object as the API shows it."""
+        """Return the object as it is in the API."""
         return {
             "kind": self.kind,
             "name": self.name,
@@ -54,7 +54,7 @@
 
 
 class ObjectStore:
-    """Objects with versions; versions go on counting after a deletion."""
+    """Versioned objects; versions continue to increase after a deletion."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -68,7 +68,7 @@
     def put(
         self, kind: str, name: str, if_version: int, value: Any
     ) -> StoredObject | None:
-        """Store a value if the version is the stated one, else None."""
+        """Store a value and return the object; None on a version conflict."""
         found = self.get(kind, name)
         visible = found.version if found.value is not None else 0
         if visible != if_version:
@@ -84,8 +84,10 @@
         self._objects[kind, name] = stored
         return stored
 
-    def changed(self, kind: str, after: int = -1) -> list[dict[str, Any]]:
-        """Return the kind's objects that changed after a revision."""
+    def changed_objects(
+        self, kind: str, after: int = -1
+    ) -> list[dict[str, Any]]:
+        """Return the objects of a kind that changed after a revision."""
         return [
             o.as_json()
             for o in self._objects.values()
@@ -96,7 +98,7 @@
 
 
 class VmList:
-    """The list of VMs, shown as it was some time ago."""
+    """The list of VMs; readers see a new list only after a lag."""
 
     def __init__(self, *, lag_ms: int) -> None:
         self.lag = lag_ms / 1000
@@ -104,23 +106,25 @@
         self._history.append((-1e9, {"revision": 0, "vms": []}))
 
     def set(self, vms: list[dict[str, Any]], now: float) -> None:
-        """Take a new list; readers see it after the lag."""
+        """Store a new list, which readers see after the lag."""
         revision = self._history[-1][1]["revision"] + 1
         self._history.append((now, {"revision": revision, "vms": vms}))
 
-    def shown(self, now: float) -> dict[str, Any]:
-        """Return the list that readers see now."""
-        while len(self._history) > 1 and self._shows(self._history[1], now):
+    def visible_list(self, now: float) -> dict[str, Any]:
+        """Return the list that readers see at time `now`."""
+        while len(self._history) > 1 and self._is_visible(
+            self._history[1], now
+        ):
             self._history.popleft()
         return self._history[0][1]
 
-    def _shows(self, entry: tuple[float, Any], now: float) -> bool:
+    def _is_visible(self, entry: tuple[float, Any], now: float) -> bool:
         return entry[0] + self.lag <= now
 
 
 @dataclass(slots=True, kw_only=True)
 class Faults:
-    """What is broken just now."""
+    """The faults that are active."""
 
     outage: str = "none"
     slow_ms: int = 0
@@ -130,24 +134,24 @@
 
 @dataclass(slots=True, kw_only=True)
 class RateLimit:
-    """A count of calls in the current second."""
+    """Limits the number of calls per second."""
 
     per_second: int
     second: int = 0
-    used: int = 0
+    used_in_second: int = 0
 
-    def take(self, now: float) -> bool:
-        """Count a call; false when this second has no more."""
+    def try_take(self, now: float) -> bool:
+        """Count a call; return False if it exceeds the limit."""
         if int(now) != self.second:
             self.second = int(now)
-            self.used = 0
-        self.used += 1
-        return self.used <= self.per_second
+            self.used_in_second = 0
+        self.used_in_second += 1
+        return self.used_in_second <= self.per_second
 
 
 @dataclass(slots=True, kw_only=True)
 class Counters:
-    """Calls by purpose since the start."""
+    """The number of calls by purpose since the start."""
 
     reads: Counter[str] = field(default_factory=Counter)
     writes: Counter[str] = field(default_factory=Counter)
@@ -157,8 +161,8 @@
     second: int = 0
     in_second: int = 0
 
-    def count(self, purpose: str, write: bool, now: float) -> None:
-        """Count one call, whatever becomes of it."""
+    def record_call(self, purpose: str, write: bool, now: float) -> None:
+        """Count one call, whatever its outcome."""
         (self.writes if write else self.reads)[purpose] += 1
         if int(now) != self.second:
             self.second = int(now)
@@ -167,7 +171,7 @@
         self.peak_per_second = max(self.peak_per_second, self.in_second)
 
     def as_json(self) -> dict[str, Any]:
-        """Return the counters as the API shows them."""
+        """Return the counters as they are in the API."""
         return {
             "reads": self.reads,
             "writes": self.writes,
@@ -178,7 +182,7 @@
 
 
 class Platform:
-    """Answers requests over the store, unless a fault says otherwise."""
+    """Answers requests on the store and simulates the active faults."""
 
     def __init__(
         self,
@@ -193,25 +197,25 @@
         self.counters = Counters()
         self._read_limit = RateLimit(per_second=max_reads_per_s)
         self._write_limit = RateLimit(per_second=max_writes_per_s)
-        self._changed = asyncio.Condition()
-        self._repaired = asyncio.Event()
+        self._change_condition = asyncio.Condition()
+        self._outage_ended = asyncio.Event()
 
     async def handle(self, conn: Connection, request: Request) -> Reply | None:
-        """Answer one request, or drop its connection."""
+        """Answer one request, or close its connection."""
         try:
-            if self._is_knob(request):
-                return await self._handle_knob(request)
+            if self._is_control_request(request):
+                return await self._handle_control_request(request)
             return await self._handle_call(request)
         except (KeyError, ValueError, orjson.JSONDecodeError) as exc:
             return Reply(status=400, body={"error": str(exc)})
 
-    def _is_knob(self, request: Request) -> bool:
+    def _is_control_request(self, request: Request) -> bool:
         match request.method, request.path:
             case (_, ["faults"]) | (_, ["counters"]) | ("PUT", ["vms"]):
                 return True
         return False
 
-    async def _handle_knob(self, request: Request) -> Reply:
+    async def _handle_control_request(self, request: Request) -> Reply:
         match request.method, request.path:
             case "GET", ["counters"]:
                 return Reply(body=self.counters.as_json())
@@ -228,44 +232,44 @@
                 raise ValueError(f"unknown fault {name}")
             setattr(self.faults, name, value)
         if self.faults.outage == "none":
-            self._repaired.set()
+            self._outage_ended.set()
         else:
-            self._repaired.clear()
-        async with self._changed:
-            self._changed.notify_all()
+            self._outage_ended.clear()
+        async with self._change_condition:
+            self._change_condition.notify_all()
         return Reply(body={})
 
     async def _handle_call(self, request: Request) -> Reply | None:
         purpose = request.headers.get("x-purpose", "none")
         write = request.method in ("PUT", "DELETE")
         now = time.monotonic()
-        self.counters.count(purpose, write, now)
+        self.counters.record_call(purpose, write, now)
         limit = self._write_limit if write else self._read_limit
-        if await self._is_down(purpose):
+        if await self._fails_by_outage(purpose):
             return CLOSE
-        if not limit.take(now):
+        if not limit.try_take(now):
             self.counters.refused[purpose] += 1
             headers = {"Retry-After": "1"}
             return Reply(status=429, body={}, headers=headers)
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1000)
         reply = await self._route(request)
-        if await self._is_down(purpose):
+        if await self._fails_by_outage(purpose):
             return CLOSE
-        if write and reply.status == 200 and self._loses_answer(request):
+        if write and reply.status == 200 and self._should_lose_answer(request):
             return CLOSE
         return reply
 
-    async def _is_down(self, purpose: str) -> bool:
-        """Say whether the call fails; a hanging one fails after repair."""
+    async def _fails_by_outage(self, purpose: str) -> bool:
+        """Return whether the call fails; during a hang, after its end."""
         if self.faults.outage == "none":
             return False
         self.counters.failed[purpose] += 1
         if self.faults.outage == "hang":
-            await self._repaired.wait()
+            await self._outage_ended.wait()
         return True
 
-    def _loses_answer(self, request: Request) -> bool:
+    def _should_lose_answer(self, request: Request) -> bool:
         kind = request.path[1]
         if self.faults.lose_answers <= 0:
             return False
@@ -294,13 +298,13 @@
         return Reply(status=404, body={"error": "no such resource"})
 
     def _list_vms(self, query: dict[str, str]) -> Reply:
-        shown = self.vms.shown(time.monotonic())
-        if shown["revision"] <= int(query.get("after", "0")):
-            return Reply(body={"revision": shown["revision"]})
-        return Reply(body=shown)
+        visible = self.vms.visible_list(time.monotonic())
+        if visible["revision"] <= int(query.get("after", "0")):
+            return Reply(body={"revision": visible["revision"]})
+        return Reply(body=visible)
 
     def _list(self, kind: str) -> Reply:
-        objects = self.store.changed(kind)
+        objects = self.store.changed_objects(kind)
         body = {"objects": objects, "revision": self.store.revision}
         return Reply(body=body)
 
@@ -320,8 +324,8 @@
             found = self.store.get(kind, name)
             status = 409 if found.value is not None else 404
             return Reply(status=status, body=found.as_json())
-        async with self._changed:
-            self._changed.notify_all()
+        async with self._change_condition:
+            self._change_condition.notify_all()
         return Reply(body={"version": stored.version})
 
     async def _watch(self, kind: str, query: dict[str, str]) -> Reply:
@@ -329,24 +333,24 @@
         wait = min(int(query.get("wait_ms", "0")), MAX_WAIT_MS) / 1000
         deadline = time.monotonic() + wait
         while True:
-            objects = self.store.changed(kind, after)
-            left = deadline - time.monotonic()
-            if objects or left <= 0 or self.faults.outage != "none":
+            objects = self.store.changed_objects(kind, after)
+            remaining = deadline - time.monotonic()
+            if objects or remaining <= 0 or self.faults.outage != "none":
                 break
-            await self._wait_for_change(left)
+            await self._wait_for_change(remaining)
         body = {"objects": objects, "revision": self.store.revision}
         return Reply(body=body)
 
     async def _wait_for_change(self, timeout: float) -> None:
-        async with self._changed:
+        async with self._change_condition:
             try:
-                await asyncio.wait_for(self._changed.wait(), timeout)
+                await asyncio.wait_for(self._change_condition.wait(), timeout)
             except TimeoutError:
                 pass
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Listen and answer until the process ends."""
+    """Serve requests until the process ends."""
     platform = Platform(
         vm_list_lag_ms=options.vm_list_lag_ms,
         max_reads_per_s=options.max_reads_per_s,
@@ -354,7 +358,7 @@
     )
     server = await serve_http(options.listen, platform.handle)
     print(f"listening {listening_address(server)}", flush=True)
-    await asyncio.gather(server.serve_forever(), watch_loop())
+    await asyncio.gather(server.serve_forever(), report_loop_delays())
 
 
 def main() -> None:
--- a/bamboospring/testing/reserved_ports.py
+++ b/bamboospring/testing/reserved_ports.py
@@ -1,10 +1,10 @@
-"""Loopback ports that are kept for processes which start later.
+"""Reserves loopback ports for processes that start later.
 
-A port that was free a moment ago may be taken by the time its process
-listens, or while that process is down for a restart: by another fleet of the
-same machine, or by an outgoing connection. Each socket here stays bound, not
-listening. With SO_REUSEADDR on both sides the process that the port is for
-can listen on it all the same, while the kernel gives it to nobody who asks
+A port that was free when it was chosen may be taken before its process
+listens, or while that process restarts: by another fleet on the same machine
+or by an outgoing connection. Each socket here therefore stays bound without
+listening. With SO_REUSEADDR on both sockets the intended process can still
+listen on the port, while the kernel does not assign it to a process that asks
 for any free port.
 """
 
@@ -18,21 +18,21 @@
 
 
 class ReservedPorts:
-    """Ports of one fleet, held until `close`."""
+    """The ports of one fleet, reserved until `close`."""
 
     def __init__(self) -> None:
-        self._socks: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
 
     def reserve(self) -> str:
-        """Return a new address that nobody else is given."""
+        """Reserve a free port and return its address."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((HOST, 0))
-        self._socks.append(sock)
+        self._sockets.append(sock)
         return f"{HOST}:{sock.getsockname()[1]}"
 
     def close(self) -> None:
-        """Give all ports back."""
-        for sock in self._socks:
+        """Release all ports."""
+        for sock in self._sockets:
             sock.close()
-        self._socks.clear()
+        self._sockets.clear()
--- a/bamboospring/testing/session_callers.py
+++ b/bamboospring/testing/session_callers.py
@@ -1,4 +1,4 @@
-"""Callers with sessions, over the line protocol, that tell a judge."""
+"""Callers of the line protocol that report all outcomes to a checker."""
 
 from __future__ import annotations
 
@@ -17,15 +17,25 @@
 
 __all__ = ["CallerKey", "CallerRoute", "SessionCaller", "StatementReply"]
 
-PROMISES = ("BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "MAXCONN")
+NOT_RUN_CODES = (
+    "BUSY",
+    "ABORTED",
+    "LAGGING",
+    "READONLY",
+    "WRONGHOST",
+    "MAXCONN",
+)
 ANSWER_TIMEOUT = 6.0
-ITEMS = 40
-_numbers = itertools.count(1)
+ITEM_COUNT = 40
+_session_numbers = itertools.count(1)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerRoute:
-    """A database as callers know it; ages in seconds."""
+    """A database as callers see it; `max_age` is in seconds.
+
+    `write_share` and `transaction_share` are shares from 0 to 1.
+    """
 
     database: str
     group: str
@@ -36,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerKey:
-    """A key and its team; both are empty where no key is needed."""
+    """A key and its team; both are empty if no key is needed."""
 
     key: str = ""
     team: str = ""
@@ -44,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatementReply:
-    """The answer to one statement; `code` is empty for a success."""
+    """The answer to one statement; `code` is empty after success."""
 
     code: str = ""
     state: str = "I"
@@ -52,12 +62,12 @@
     signature: str = ""
 
 
-class Gone(Exception):
-    """The connection ended; nothing more is known."""
+class ConnectionEnded(Exception):
+    """The connection ended; the outcome of a statement is unknown."""
 
 
 class SessionCaller:
-    """One caller: opens sessions at some VM and works through them."""
+    """One caller, which opens sessions at random VMs and runs statements."""
 
     def __init__(
         self,
@@ -75,172 +85,192 @@
         self._number = number
         self._routes = routes
         self._addresses = addresses
-        self._judge = judge
-        self._random = random.Random(f"{seed}/caller/{number}")
+        self._checker = judge
+        self._rng = random.Random(f"{seed}/caller/{number}")
         self._pause = pause
         self._keys = keys
-        # May be put off while it works.
+        # Can be changed while the caller runs.
         self.stop_at = 0.0
 
-    async def run(self, until: float) -> None:
-        """Work until a monotonic time."""
-        self.stop_at = until
+    async def run(self, stop_at: float) -> None:
+        """Run sessions until a monotonic time."""
+        self.stop_at = stop_at
         while time.monotonic() < self.stop_at:
-            route = self._random.choice(self._routes)
+            route = self._rng.choice(self._routes)
             session = _Session(
-                number=next(_numbers),
+                number=next(_session_numbers),
                 route=route,
-                judge=self._judge,
-                random=self._random,
+                checker=self._checker,
+                rng=self._rng,
                 outcomes=self.outcomes,
                 latencies=self.latencies,
-                key=self._random.choice(self._keys),
+                key=self._rng.choice(self._keys),
             )
             try:
-                await session.open(self._random.choice(self._addresses()))
-                await self._work(session)
-            except (OSError, Gone, asyncio.IncompleteReadError, TimeoutError):
+                await session.open(self._rng.choice(self._addresses()))
+                await self._run_operations(session)
+            except (
+                OSError,
+                ConnectionEnded,
+                asyncio.IncompleteReadError,
+                TimeoutError,
+            ):
                 self.outcomes["cut"] += 1
                 await asyncio.sleep(0.05)
             finally:
                 session.close()
 
-    async def _work(self, session: _Session) -> None:
-        for _ in range(self._random.choice((1, 5, 40))):
+    async def _run_operations(self, session: _Session) -> None:
+        for _ in range(self._rng.choice((1, 5, 40))):
             if time.monotonic() >= self.stop_at:
                 return
-            await session.operation()
-            await asyncio.sleep(self._random.uniform(0, 2 * self._pause))
+            await session.run_operation()
+            await asyncio.sleep(self._rng.uniform(0, 2 * self._pause))
 
 
 @dataclass(slots=True, kw_only=True)
 class _Session:
-    """One session and what it has set and prepared."""
+    """One session with its values and prepared shapes."""
 
     number: int
     route: CallerRoute
-    judge: SessionChecker
-    random: random.Random
+    checker: SessionChecker
+    rng: random.Random
     outcomes: Counter[str]
     latencies: list[float]
     key: CallerKey
     values: dict[str, str] = field(default_factory=dict)
-    names: dict[str, tuple[bool, str]] = field(default_factory=dict)
+    prepared_shapes: dict[str, tuple[bool, str]] = field(default_factory=dict)
     reader: asyncio.StreamReader | None = None
     writer: asyncio.StreamWriter | None = None
 
     async def open(self, address: str) -> None:
-        """Connect and name the database."""
+        """Connect and open a session on the database."""
         host, _, port = address.rpartition(":")
         self.reader, self.writer = await asyncio.open_connection(
             host, int(port)
         )
-        who = self.key.key or f"c{self.number}"
-        self.writer.write(f"OPEN {self.route.database} {who}\r\n".encode())
+        credential = self.key.key or f"c{self.number}"
+        self.writer.write(
+            f"OPEN {self.route.database} {credential}\r\n".encode()
+        )
         line = await asyncio.wait_for(self.reader.readuntil(b"\r\n"), 2.0)
         if not line.startswith(b"READY"):
             self.outcomes[f"open:{line.decode().split()[1]}"] += 1
-            raise Gone()
+            raise ConnectionEnded()
 
     def close(self) -> None:
-        """End the session."""
+        """Close the connection, which ends the session."""
         if self.writer is not None:
             self.writer.close()
 
-    async def operation(self) -> None:
-        """Do one statement or one transaction."""
-        draw = self.random.random()
-        if draw < 0.05:
-            await self._set()
-        elif draw < 0.1:
-            await self._prepare()
-        elif self.random.random() < self.route.transaction_share:
-            await self._transaction()
+    async def run_operation(self) -> None:
+        """Run one statement or one transaction."""
+        random_value = self.rng.random()
+        if random_value < 0.05:
+            await self._set_value()
+        elif random_value < 0.1:
+            await self._prepare_shape()
+        elif self.rng.random() < self.route.transaction_share:
+            await self._run_transaction()
         else:
-            await self._single()
+            await self._run_autocommit()
 
-    async def _set(self) -> None:
-        name = self.random.choice(("lang", "zone"))
-        value = str(self.random.randrange(4))
-        told = await self._ask("-s", f"SET {name} {value}")
-        if not told.code:
+    async def _set_value(self) -> None:
+        name = self.rng.choice(("lang", "zone"))
+        value = str(self.rng.randrange(4))
+        reply = await self._query("-s", f"SET {name} {value}")
+        if not reply.code:
             self.values[name] = value
 
-    async def _prepare(self) -> None:
-        name = self.random.choice(("a", "b"))
-        writes = self.random.random() < self.route.write_share
-        shape = f"q{self.random.randrange(6)}"
-        mode = "WRITE" if writes else "READ"
-        told = await self._ask("-p", f"PREPARE {name} {mode} {shape}")
-        if not told.code:
-            self.names[name] = (writes, shape)
-
-    async def _single(self) -> None:
-        began = time.monotonic()
-        writes = self.random.random() < self.route.write_share
-        id, writes, told = await self._statement(writes, began, "")
-        self._count("write" if writes else "read", told, began)
-        if writes:
-            self._tell((id,), told)
-
-    async def _transaction(self) -> None:
-        """Work in a transaction with pauses, sometimes leaving midway."""
-        began = time.monotonic()
-        writing = self.random.random() < self.route.write_share
+    async def _prepare_shape(self) -> None:
+        name = self.rng.choice(("a", "b"))
+        is_write = self.rng.random() < self.route.write_share
+        shape = f"q{self.rng.randrange(6)}"
+        mode = "WRITE" if is_write else "READ"
+        reply = await self._query("-p", f"PREPARE {name} {mode} {shape}")
+        if not reply.code:
+            self.prepared_shapes[name] = (is_write, shape)
+
+    async def _run_autocommit(self) -> None:
+        started_at = time.monotonic()
+        is_write = self.rng.random() < self.route.write_share
+        id, is_write, reply = await self._run_statement(
+            is_write, started_at, ""
+        )
+        self._record_reply("write" if is_write else "read", reply, started_at)
+        if is_write:
+            self._report_outcome((id,), reply)
+
+    async def _run_transaction(self) -> None:
+        """Run a transaction with pauses; some are rolled back."""
+        started_at = time.monotonic()
+        has_writes = self.rng.random() < self.route.write_share
         transaction = _new_id()
-        told = await self._ask("-b", "BEGIN" if writing else "BEGIN READ")
-        if told.code:
-            self._count("begin", told, began)
+        reply = await self._query(
+            "-b", "BEGIN" if has_writes else "BEGIN READ"
+        )
+        if reply.code:
+            self._record_reply("begin", reply, started_at)
             return
-        wrote: list[str] = []
-        for _ in range(self.random.randint(1, 5)):
-            await asyncio.sleep(self.random.uniform(0, 0.03))
-            writes = writing and self.random.random() < 0.6
-            id, writes, told = await self._statement(
-                writes, began, transaction
+        write_ids: list[str] = []
+        for _ in range(self.rng.randint(1, 5)):
+            await asyncio.sleep(self.rng.uniform(0, 0.03))
+            is_write = has_writes and self.rng.random() < 0.6
+            id, is_write, reply = await self._run_statement(
+                is_write, started_at, transaction
             )
-            if writes:
-                wrote.append(id)
-            if told.code:
-                await self._ask("-r", "ROLLBACK")
-                self._count("statement", told, began)
-                self._tell(tuple(wrote), StatementReply(code="ABORTED"))
+            if is_write:
+                write_ids.append(id)
+            if reply.code:
+                await self._query("-r", "ROLLBACK")
+                self._record_reply("statement", reply, started_at)
+                self._report_outcome(
+                    tuple(write_ids), StatementReply(code="ABORTED")
+                )
                 return
-        if self.random.random() < 0.1:
-            await self._ask("-r", "ROLLBACK")
-            self._tell(tuple(wrote), StatementReply(code="ABORTED"))
+        if self.rng.random() < 0.1:
+            await self._query("-r", "ROLLBACK")
+            self._report_outcome(
+                tuple(write_ids), StatementReply(code="ABORTED")
+            )
             return
         id = _new_id()
-        self._note(id, "COMMIT", began, transaction)
-        told = await self._ask(id, "COMMIT")
-        self._count("commit", told, began)
-        self._tell(tuple(wrote), told)
+        self._record_sent(id, "COMMIT", started_at, transaction)
+        reply = await self._query(id, "COMMIT")
+        self._record_reply("commit", reply, started_at)
+        self._report_outcome(tuple(write_ids), reply)
 
-    async def _statement(
-        self, writes: bool, began: float, transaction: str
+    async def _run_statement(
+        self, is_write: bool, started_at: float, transaction: str
     ) -> tuple[str, bool, StatementReply]:
         id = _new_id()
-        item = f"i{self.random.randrange(ITEMS)}"
-        data = f" d{id[:6]}" if writes else ""
-        mode = "WRITE" if writes else "READ"
+        item = f"i{self.rng.randrange(ITEM_COUNT)}"
+        data = f" d{id[:6]}" if is_write else ""
+        mode = "WRITE" if is_write else "READ"
         text, shape = f"{mode} {item}{data}", ""
-        fit = [n for n, (w, _s) in self.names.items() if w == writes]
-        if fit and self.random.random() < 0.5:
-            name = self.random.choice(fit)
-            text, shape = f"EXECUTE {name} {item}{data}", self.names[name][1]
-        self._note(id, text, began, transaction, shape)
-        return id, writes, await self._ask(id, text)
-
-    def _note(
+        matching_names = [
+            n for n, (w, _s) in self.prepared_shapes.items() if w == is_write
+        ]
+        if matching_names and self.rng.random() < 0.5:
+            name = self.rng.choice(matching_names)
+            text, shape = (
+                f"EXECUTE {name} {item}{data}",
+                self.prepared_shapes[name][1],
+            )
+        self._record_sent(id, text, started_at, transaction, shape)
+        return id, is_write, await self._query(id, text)
+
+    def _record_sent(
         self,
         id: str,
         text: str,
-        began: float,
+        started_at: float,
         transaction: str,
         shape: str = "",
     ) -> None:
-        sent_at = began if transaction else time.monotonic()
-        self.judge.sent_statements[id] = SentStatement(
+        sent_at = started_at if transaction else time.monotonic()
+        self.checker.sent_statements[id] = SentStatement(
             id=id,
             group=self.route.group,
             session=self.number,
@@ -255,7 +285,12 @@
             team=self.key.team,
         )
 
-    async def _ask(self, id: str, text: str) -> StatementReply:
+    async def _query(self, id: str, text: str) -> StatementReply:
+        """Send one statement and return its reply.
+
+        An id that starts with `-` is replaced by a new id, which the checker
+        does not expect.
+        """
         assert self.writer is not None and self.reader is not None
         if id.startswith("-"):
             id = _new_id()
@@ -266,8 +301,8 @@
             line = await asyncio.wait_for(
                 self.reader.readuntil(b"\r\n"), ANSWER_TIMEOUT
             )
-            word, _, rest = line.decode("latin-1")[:-2].partition(" ")
-            match word:
+            keyword, _, rest = line.decode("latin-1")[:-2].partition(" ")
+            match keyword:
                 case "ROW":
                     rows.append(rest)
                 case "COMPLETE":
@@ -282,20 +317,26 @@
                         signature=signature,
                     )
                 case _:
-                    raise Gone()
-
-    def _tell(self, requests: tuple[str, ...], told: StatementReply) -> None:
-        word = "unknown"
-        if not told.code:
-            word = "done"
-        elif told.code in PROMISES:
-            word = "nothing"
-        self.judge.told(self.route.group, self.number, requests, word)
-
-    def _count(self, what: str, told: StatementReply, began: float) -> None:
-        self.outcomes[f"{what}:{told.code or 'ok'}"] += 1
-        if not told.code:
-            self.latencies.append(time.monotonic() - began)
+                    raise ConnectionEnded()
+
+    def _report_outcome(
+        self, request_ids: tuple[str, ...], reply: StatementReply
+    ) -> None:
+        outcome = "unknown"
+        if not reply.code:
+            outcome = "done"
+        elif reply.code in NOT_RUN_CODES:
+            outcome = "nothing"
+        self.checker.check_outcome(
+            self.route.group, self.number, request_ids, outcome
+        )
+
+    def _record_reply(
+        self, operation: str, reply: StatementReply, started_at: float
+    ) -> None:
+        self.outcomes[f"{operation}:{reply.code or 'ok'}"] += 1
+        if not reply.code:
+            self.latencies.append(time.monotonic() - started_at)
 
 
 def _new_id() -> str:
--- a/bamboospring/testing/session_checker.py
+++ b/bamboospring/testing/session_checker.py
@@ -1,6 +1,6 @@
-"""Holds what members ran against what callers were told.
+"""Compares what members executed with the answers that callers received.
 
-Faults are kept as texts; a run without any has kept its promises.
+Violations are recorded as texts; a run without any has kept all guarantees.
 """
 
 from __future__ import annotations
@@ -10,43 +10,42 @@
 from dataclasses import field
 import time
 
-from bamboospring.testing.session_members import Entry
-from bamboospring.testing.session_members import Group
-from bamboospring.testing.session_members import Link
 from bamboospring.testing.session_members import Member
+from bamboospring.testing.session_members import MemberConnection
+from bamboospring.testing.session_members import MemberGroup
+from bamboospring.testing.session_members import MemberLogEntry
 from bamboospring.testing.session_platform import PromotionOrder
 
 __all__ = ["SentStatement", "SessionChecker", "TeamLimits"]
 
-# What runs later than this after a member has begun to leave, in seconds, was
-# sent there too late.
-LEAVING_LIMIT = 7.0
+# A statement that a member executes more than this many seconds after the
+# start of its drain was sent there too late.
+MAX_LEAVING_SECONDS = 7.0
 
-
-# A team's limit holds over each span of so many seconds, with this much more
-# of it and so many operations besides.
-LIMIT_WINDOW = 5.0
-LIMIT_OVERAGE = 0.1
-LIMIT_SLACK = 20
+# A team's limit applies to each window of this length. A window may exceed it
+# by this share of the limit, plus this number of operations.
+LIMIT_WINDOW_SECONDS = 5.0
+LIMIT_TOLERANCE = 0.1
+LIMIT_EXTRA_OPERATIONS = 20
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TeamLimits:
-    """What a team may run: operations a second, and so many at once."""
+    """The limits of a team: operations per second, and operations at once."""
 
     rate: float
     burst: float
 
     @property
     def max_operations(self) -> float:
-        """Return how many operations may run in one window."""
-        wanted = self.rate * LIMIT_WINDOW + self.burst
-        return wanted * (1 + LIMIT_OVERAGE) + LIMIT_SLACK
+        """Return the maximum number of operations in one window."""
+        limit = self.rate * LIMIT_WINDOW_SECONDS + self.burst
+        return limit * (1 + LIMIT_TOLERANCE) + LIMIT_EXTRA_OPERATIONS
 
 
 @dataclass(slots=True, kw_only=True)
 class SentStatement:
-    """One statement of a caller, as it was sent."""
+    """One statement as a caller sent it."""
 
     id: str
     group: str
@@ -64,223 +63,265 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Acknowledged:
-    """A commit that a caller was told of."""
+class AcknowledgedCommit:
+    """A commit that was acknowledged to a caller."""
 
     position: tuple[int, int]
-    at: float
+    acknowledged_at: float
     session: int
 
 
 class SessionChecker:
-    """Is told what runs and what callers hear, and finds what is wrong."""
+    """Checks all executed statements and all answers for violations."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
         self.sent_statements: dict[str, SentStatement] = {}
         self.leaving_since: dict[str, float] = {}
-        # When the store acknowledged that a key is gone, and for how long it
-        # may be used after that.
+        # When the store acknowledged the removal of a key, and for how many
+        # seconds after that the key may still be used.
         self.key_removed_at: dict[str, float] = {}
         self.removed_key_lifetime = float("inf")
-        self._acknowledged: dict[str, list[Acknowledged]] = {}
-        self._commits: dict[str, list[tuple[Entry, str, float]]] = {}
-        self._promoted: dict[str, list[tuple[float, int, str]]] = {}
-        self._lost: dict[str, set[tuple[int, int]]] = {}
-        self._on: dict[str, tuple[Link, int]] = {}
+        self._acknowledged: dict[str, list[AcknowledgedCommit]] = {}
+        self._commits: dict[str, list[tuple[MemberLogEntry, str, float]]] = {}
+        self._promotions: dict[str, list[tuple[float, int, str]]] = {}
+        self._lost_positions: dict[str, set[tuple[int, int]]] = {}
+        self._on: dict[str, tuple[MemberConnection, int]] = {}
         self._owner: dict[int, str] = {}
 
-    # From members.
+    # Events at members.
 
-    def opened(self, member: Member, id: str) -> None:
-        """Take that a connection named the member it means."""
+    def on_connection_opened(self, member: Member, id: str) -> None:
+        """Count a session that was opened at a member."""
         self.counts["connections"] += 1
 
-    def ran(self, member: Member, link: Link, id: str, text: str) -> None:
-        """Check a statement at the moment at which it runs."""
+    def on_statement(
+        self, member: Member, conn: MemberConnection, id: str, text: str
+    ) -> None:
+        """Check a statement at the moment of its execution."""
         self.counts["ran"] += 1
-        asked = self.sent_statements.get(id)
-        if asked is None:
-            self._fault(f"nobody sent {id} {text[:40]}")
+        sent = self.sent_statements.get(id)
+        if sent is None:
+            self._add_violation(f"no caller sent {id} {text[:40]}")
             return
-        if member.group.name != asked.group:
-            self._fault(f"{id} ran in {member.group.name}")
-        if link.values != asked.values:
-            self._fault(f"{id} ran with {link.values}, not {asked.values}")
-        asked.executed_at = time.monotonic()
-        self._check_team(link, asked)
-        self._check_text(link, asked, text)
-        self._check_transaction(link, asked)
-        if not text.startswith("WRITE") and asked.max_age is not None:
-            self._check_fresh(member, asked)
-        since = self.leaving_since.get(member.id)
-        late = since is not None and time.monotonic() - since > LEAVING_LIMIT
-        if late and not asked.transaction:
-            self._fault(f"{id} ran at leaving {member.id}")
-
-    def _check_team(self, link: Link, asked: SentStatement) -> None:
-        if not asked.key:
+        if member.group.name != sent.group:
+            self._add_violation(f"{id} ran in {member.group.name}")
+        if conn.values != sent.values:
+            self._add_violation(
+                f"{id} ran with {conn.values}, not {sent.values}"
+            )
+        sent.executed_at = time.monotonic()
+        self._check_team(conn, sent)
+        self._check_text(conn, sent, text)
+        self._check_transaction(conn, sent)
+        if not text.startswith("WRITE") and sent.max_age is not None:
+            self._check_staleness(member, sent)
+        draining_since = self.leaving_since.get(member.id)
+        late = (
+            draining_since is not None
+            and time.monotonic() - draining_since > MAX_LEAVING_SECONDS
+        )
+        if late and not sent.transaction:
+            self._add_violation(f"{id} ran at leaving {member.id}")
+
+    def _check_team(self, conn: MemberConnection, sent: SentStatement) -> None:
+        if not sent.key:
             return
-        if link.who != asked.team:
-            self._fault(f"{asked.id} of {asked.team} ran as {link.who}")
-        removed_at = self.key_removed_at.get(asked.key)
+        if conn.user != sent.team:
+            self._add_violation(f"{sent.id} of {sent.team} ran as {conn.user}")
+        removed_at = self.key_removed_at.get(sent.key)
         if removed_at is not None:
-            late = asked.sent_at - removed_at
+            late = sent.sent_at - removed_at
             if late > self.removed_key_lifetime:
-                self._fault(
-                    f"{asked.id} ran {late:.3f} s after its key was removed"
+                self._add_violation(
+                    f"{sent.id} ran {late:.3f} s after its key was removed"
                 )
 
     def check_team_limits(
         self, limits: dict[str, TeamLimits]
     ) -> dict[str, int]:
-        """Check each team's operations; returns the most in any window."""
-        most: dict[str, int] = {}
-        for team, allowed in limits.items():
-            operations = self._operations(team)
-            most[team] = _most_in_window(operations)
-            if most[team] > allowed.max_operations:
-                self._fault(
-                    f"{most[team]} operations of {team} in {LIMIT_WINDOW} s"
+        """Check each team's operations; return the maximum in any window."""
+        peaks: dict[str, int] = {}
+        for team, team_limits in limits.items():
+            operations = self._operation_times(team)
+            peaks[team] = _max_in_window(operations)
+            if peaks[team] > team_limits.max_operations:
+                self._add_violation(
+                    f"{peaks[team]} operations of {team} in "
+                    f"{LIMIT_WINDOW_SECONDS} s"
                 )
-        return most
+        return peaks
 
-    def _operations(self, team: str) -> list[tuple[float, float]]:
-        """Return when operations of a team were sent and ran first."""
+    def _operation_times(self, team: str) -> list[tuple[float, float]]:
+        """Return when each operation of a team was first sent and executed."""
         found: dict[str, tuple[float, float]] = {}
-        for asked in self.sent_statements.values():
-            if asked.team == team and asked.executed_at is not None:
-                name = asked.transaction or asked.attempt
-                now = (asked.sent_at, asked.executed_at)
-                found[name] = min(found.get(name, now), now)
+        for sent in self.sent_statements.values():
+            if sent.team == team and sent.executed_at is not None:
+                operation = sent.transaction or sent.attempt
+                times = (sent.sent_at, sent.executed_at)
+                found[operation] = min(found.get(operation, times), times)
         return sorted(found.values())
 
-    def _check_text(self, link: Link, asked: SentStatement, text: str) -> None:
+    def _check_text(
+        self, conn: MemberConnection, sent: SentStatement, text: str
+    ) -> None:
         if not text.startswith("EXECUTE"):
-            if text != asked.text:
-                self._fault(f"{asked.id}: {asked.text!r} became {text!r}")
+            if text != sent.text:
+                self._add_violation(
+                    f"{sent.id}: {sent.text!r} became {text!r}"
+                )
             return
         name = text.split(" ")[1]
-        if link.names[name][1] != asked.shape:
-            self._fault(f"{asked.id}: {name} is {link.names[name]}")
+        if conn.prepared_shapes[name][1] != sent.shape:
+            self._add_violation(
+                f"{sent.id}: {name} is {conn.prepared_shapes[name]}"
+            )
 
-    def _check_transaction(self, link: Link, asked: SentStatement) -> None:
-        inside = link.state == "T"
-        if inside != bool(asked.transaction):
-            self._fault(f"{asked.id} ran in state {link.state}")
+    def _check_transaction(
+        self, conn: MemberConnection, sent: SentStatement
+    ) -> None:
+        inside = conn.state == "T"
+        if inside != bool(sent.transaction):
+            self._add_violation(f"{sent.id} ran in state {conn.state}")
             return
         if not inside:
             return
-        for other in link.ran:
+        for other in conn.statement_ids:
             owner = self.sent_statements[other].transaction
-            if owner != asked.transaction:
-                self._fault(f"{asked.id} ran inside {owner}")
-
-    def _check_fresh(self, member: Member, asked: SentStatement) -> None:
-        assert asked.max_age is not None
-        began = asked.sent_at
-        have = {entry.position for entry in member.log}
-        lost = self._lost.get(asked.group, set())
-        for known in self._acknowledged.get(asked.group, ()):
-            own = known.session == asked.session and known.at < began
-            old = known.at < began - asked.max_age
-            if not (own or old) or known.position in lost:
+            if owner != sent.transaction:
+                self._add_violation(f"{sent.id} ran inside {owner}")
+
+    def _check_staleness(self, member: Member, sent: SentStatement) -> None:
+        assert sent.max_age is not None
+        sent_at = sent.sent_at
+        applied = {entry.position for entry in member.log}
+        lost = self._lost_positions.get(sent.group, set())
+        for commit in self._acknowledged.get(sent.group, ()):
+            is_own = (
+                commit.session == sent.session
+                and commit.acknowledged_at < sent_at
+            )
+            is_too_old = commit.acknowledged_at < sent_at - sent.max_age
+            if not (is_own or is_too_old) or commit.position in lost:
                 continue
-            if known.position not in have:
-                self._fault(
-                    f"stale: {asked.id} at {member.id} {member.position} "
-                    f"lacks {known.position}, told "
-                    f"{began - known.at:.3f} s before, own={own}"
+            if commit.position not in applied:
+                self._add_violation(
+                    f"stale: {sent.id} at {member.id} {member.position} "
+                    f"lacks {commit.position}, acknowledged "
+                    f"{sent_at - commit.acknowledged_at:.3f} s before, "
+                    f"own={is_own}"
                 )
                 return
 
-    def committed(self, member: Member, entry: Entry) -> None:
-        """Keep a commit with its time."""
+    def on_commit(self, member: Member, entry: MemberLogEntry) -> None:
+        """Record a commit with its time."""
         self.counts["committed"] += 1
         commits = self._commits.setdefault(member.group.name, [])
         commits.append((entry, member.id, time.monotonic()))
 
-    def promoted(self, group: Group, member: Member) -> None:
-        """Keep a promotion, and what is lost with it."""
+    def on_promotion(self, group: MemberGroup, member: Member) -> None:
+        """Record a promotion and the commits that are lost by it."""
         self.counts["promoted"] += 1
-        promoted = self._promoted.setdefault(group.name, [])
-        promoted.append((time.monotonic(), member.term, member.id))
-        have = {entry.position for entry in member.log}
-        lost = self._lost.setdefault(group.name, set())
+        promotions = self._promotions.setdefault(group.name, [])
+        promotions.append((time.monotonic(), member.term, member.id))
+        retained = {entry.position for entry in member.log}
+        lost = self._lost_positions.setdefault(group.name, set())
         for entry, _member, _at in self._commits.get(group.name, ()):
-            if entry.position not in have:
+            if entry.position not in retained:
                 lost.add(entry.position)
 
-    # From callers.
+    # Answers to callers.
 
-    def told(
-        self, group: str, session: int, requests: tuple[str, ...], word: str
+    def check_outcome(
+        self,
+        group: str,
+        session: int,
+        request_ids: tuple[str, ...],
+        outcome: str,
     ) -> None:
-        """Check what a caller was told of the writes of one attempt.
+        """Check the outcome that a caller received for an attempt's writes.
 
-        `word` is done, nothing (a promise that nothing is kept) or unknown.
+        `outcome` is done, nothing (a guarantee that no effect is kept) or
+        unknown.
         """
-        self.counts[word] += 1
-        wanted = set(requests)
-        found = [
+        self.counts[outcome] += 1
+        expected_ids = set(request_ids)
+        commits = [
             (entry, member, at)
             for entry, member, at in self._commits.get(group, ())[-400:]
-            if wanted & set(entry.requests)
+            if expected_ids & set(entry.request_ids)
         ]
-        if word == "nothing" and found:
-            self._fault(f"{requests} were kept though refused")
-        if len(found) > 1:
+        if outcome == "nothing" and commits:
+            self._add_violation(
+                f"{request_ids} were committed although refused"
+            )
+        if len(commits) > 1:
             kept = [
-                f for f in found if f[0].position not in self._lost_of(group)
+                f for f in commits if f[0].position not in self._lost_in(group)
             ]
             if len(kept) > 1:
-                self._fault(f"{requests} took effect {len(kept)} times")
-        if word != "done" or not requests:
+                self._add_violation(
+                    f"{request_ids} took effect {len(kept)} times"
+                )
+        if outcome != "done" or not request_ids:
             return
-        if not found:
-            self._fault(f"{requests} are in no log though acknowledged")
+        if not commits:
+            self._add_violation(
+                f"{request_ids} are in no log although acknowledged"
+            )
             return
-        entry, member, at = found[-1]
-        for when, term, leader in self._promoted.get(group, ()):
-            if when < at and term > entry.term and leader != member:
-                self._fault(
-                    f"{requests} were acknowledged from {member}, "
-                    f"{at - when:.3f} s after {leader} was promoted"
+        entry, member, committed_at = commits[-1]
+        for promoted_at, term, primary in self._promotions.get(group, ()):
+            if (
+                promoted_at < committed_at
+                and term > entry.term
+                and primary != member
+            ):
+                self._add_violation(
+                    f"{request_ids} were acknowledged from {member}, "
+                    f"{committed_at - promoted_at:.3f} s after {primary} was "
+                    f"promoted"
                 )
         self._acknowledged.setdefault(group, []).append(
-            Acknowledged(
+            AcknowledgedCommit(
                 position=entry.position,
-                at=time.monotonic(),
+                acknowledged_at=time.monotonic(),
                 session=session,
             )
         )
 
-    def check_promotions(self, orders: list[PromotionOrder]) -> None:
-        """Check the fencing numbers of all orders of promotion."""
+    def check_promotions(self, requests: list[PromotionOrder]) -> None:
+        """Check the fencing numbers of all promotion requests."""
         highest = 0
         holders: dict[int, str] = {}
-        for order in orders:
-            if order.fence < highest:
-                self._fault(f"fence {order.fence} came after {highest}")
-            highest = max(highest, order.fence)
-            holder = holders.setdefault(order.fence, order.holder)
-            if holder != order.holder:
-                self._fault(f"{holder} and {order.holder} share {order.fence}")
-
-    def _lost_of(self, group: str) -> set[tuple[int, int]]:
-        return self._lost.get(group, set())
-
-    def _fault(self, text: str) -> None:
+        for request in requests:
+            if request.fence < highest:
+                self._add_violation(
+                    f"fence {request.fence} came after {highest}"
+                )
+            highest = max(highest, request.fence)
+            holder = holders.setdefault(request.fence, request.holder)
+            if holder != request.holder:
+                self._add_violation(
+                    f"{holder} and {request.holder} share {request.fence}"
+                )
+
+    def _lost_in(self, group: str) -> set[tuple[int, int]]:
+        return self._lost_positions.get(group, set())
+
+    def _add_violation(self, text: str) -> None:
         if len(self.violations) < 100:
             self.violations.append(text)
 
 
-def _most_in_window(operations: list[tuple[float, float]]) -> int:
-    """Return how many were both sent and run within one window."""
-    most = 0
-    for number, (sent_at, _) in enumerate(operations):
-        until = sent_at + LIMIT_WINDOW
-        inside = [ran for sent, ran in operations[number:] if sent <= until]
-        most = max(most, sum(ran <= until for ran in inside))
-    return most
+def _max_in_window(operations: list[tuple[float, float]]) -> int:
+    """Return the maximum number sent and executed within one window."""
+    peak = 0
+    for index, (sent_at, _) in enumerate(operations):
+        window_end = sent_at + LIMIT_WINDOW_SECONDS
+        execution_times = [
+            ran for sent, ran in operations[index:] if sent <= window_end
+        ]
+        peak = max(peak, sum(ran <= window_end for ran in execution_times))
+    return peak
--- a/bamboospring/testing/session_fleet.py
+++ b/bamboospring/testing/session_fleet.py
@@ -1,7 +1,7 @@
-"""An estate with sessions: members, store, desk, links and real VMs.
+"""A fleet for sessions: stand-ins for members and platform, and real VMs.
 
-The VMs are processes of their own; everything else lives in one event loop,
-so that a judge sees what members run at the moment at which they do.
+The VMs are processes; everything else runs in one event loop, so that the
+checker sees each statement at the moment of its execution.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from bamboospring.testing.session_callers import CallerRoute
 from bamboospring.testing.session_checker import SessionChecker
 from bamboospring.testing.session_checker import TeamLimits
-from bamboospring.testing.session_members import Group
 from bamboospring.testing.session_members import Member
+from bamboospring.testing.session_members import MemberGroup
 from bamboospring.testing.session_members import MemberSettings
 from bamboospring.testing.session_platform import PromotionService
 from bamboospring.testing.session_platform import SessionStore
@@ -35,10 +35,11 @@
 __all__ = ["FleetTeam", "SessionFleet", "VmProcess"]
 
 ZONES = ("zone-a", "zone-b", "zone-c")
-BEAT = 0.4
-# An entry whose member says nothing is removed after so many beats.
-BEATS_UNTIL_GONE = 3
-KINDS: tuple[tuple[str, float | None, float, float], ...] = (
+HEARTBEAT_INTERVAL = 0.4
+# The entry of a member is removed after this number of missed heartbeats.
+MAX_MISSED_HEARTBEATS = 3
+# Kind, maximum age in seconds, share of writes and share of transactions.
+ROUTE_KINDS: tuple[tuple[str, float | None, float, float], ...] = (
     ("primary", None, 0.35, 0.4),
     ("bounded_staleness", 1.5, 0.0, 0.1),
     ("read_your_writes", 2.5, 0.12, 0.12),
@@ -47,7 +48,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class FleetTeam:
-    """A team of the configuration; without limits it runs what it sends."""
+    """A team of the configuration, by default without limits."""
 
     keys: list[str]
     limits: TeamLimits | None = None
@@ -55,7 +56,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class VmProcess:
-    """One VM: its process and where it listens."""
+    """One VM: its process and its listening addresses."""
 
     name: str
     process: ManagedProcess
@@ -64,7 +65,7 @@
     settings: Path
 
     def is_ready(self) -> bool:
-        """Ask the VM whether callers may be sent to it."""
+        """Return whether the VM reports that it is ready for callers."""
         url = f"http://{self.readiness}/api/readiness"
         try:
             with urllib.request.urlopen(url, timeout=0.5) as answer:
@@ -74,7 +75,7 @@
 
 
 class SessionFleet:
-    """Groups of three members, a store, a desk and some VMs."""
+    """Groups of three members, a store, a promotion service and VMs."""
 
     def __init__(
         self,
@@ -94,52 +95,52 @@
             self.checker.removed_key_lifetime = key_life_ms / 1000
         self.member_settings = member_settings or MemberSettings()
         self.store = SessionStore(seed=seed)
-        self.groups: dict[str, Group] = {}
+        self.groups: dict[str, MemberGroup] = {}
         self.vms: dict[str, VmProcess] = {}
         self.links: dict[str, Link] = {}
         self._vm_count = vms
         self._grace_ms = grace_ms
-        self._folder = tempfile.TemporaryDirectory()
+        self._directory = tempfile.TemporaryDirectory()
         self._ports = ReservedPorts()
         self._tasks: list[asyncio.Task[None]] = []
-        self._beats: dict[str, int] = {}
-        self._version = 0
+        self._missed_heartbeats: dict[str, int] = {}
+        self._config_version = 0
         self._config: dict[str, Any] = {}
         self.added_databases: list[str] = []
         self.suppressed_heartbeats: set[str] = set()
         for number in range(groups):
             name = f"group{number}"
-            group = Group(
+            group = MemberGroup(
                 name=name,
-                judge=self.checker,
-                knobs=self.member_settings,
+                observer=self.checker,
+                settings=self.member_settings,
                 seed=seed,
             )
-            for place, zone in enumerate(ZONES):
-                group.add(f"{name}-m{place}", zone, primary=place == 0)
+            for index, zone in enumerate(ZONES):
+                group.add(f"{name}-m{index}", zone, primary=index == 0)
             self.groups[name] = group
         self.promotion_service = PromotionService(self.groups)
 
     async def start(self) -> None:
-        """Start all and wait until the VMs are ready."""
+        """Start all parts and wait until the VMs are ready."""
         await self.store.start()
         await self.promotion_service.start()
         for member in self.members():
             member.address = self._ports.reserve()
             await member.start()
-            await self._link(member.id, member.address)
+            await self._add_link(member.id, member.address)
         for number in range(self._vm_count):
             name = f"vm{number}"
-            await self._link(f"{name}-store", self.store.address)
+            await self._add_link(f"{name}-store", self.store.address)
             self._add_vm(name, ZONES[number % len(ZONES)])
         self.write_config()
-        self._tasks.append(asyncio.create_task(self._beat()))
+        self._tasks.append(asyncio.create_task(self._send_heartbeats()))
         for vm in self.vms.values():
             vm.process.start()
         await self.wait_ready()
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         for task in self._tasks:
             task.cancel()
         for vm in self.vms.values():
@@ -150,41 +151,41 @@
             link.close()
         await asyncio.sleep(0)
         self._ports.close()
-        self._folder.cleanup()
+        self._directory.cleanup()
 
     def members(self) -> list[Member]:
         """Return all members."""
         return [m for g in self.groups.values() for m in g.members.values()]
 
     def primary(self, group: str) -> Member:
-        """Return the member that leads the highest term."""
+        """Return the member that is primary of the highest term."""
         members = self.groups[group].members.values()
         return max((m for m in members if m.is_primary), key=lambda m: m.term)
 
     def routes(self) -> list[CallerRoute]:
-        """Return the databases of the configuration, as callers see them."""
+        """Return the databases of the configuration as callers see them."""
         return [
             CallerRoute(
                 database=f"{group}-{kind}",
                 group=group,
-                max_age=age or 0.0,
+                max_age=max_age or 0.0,
                 write_share=writes,
                 transaction_share=transactions,
             )
             for group in self.groups
-            for kind, age, writes, transactions in KINDS
+            for kind, max_age, writes, transactions in ROUTE_KINDS
         ]
 
     def addresses(self) -> list[str]:
-        """Return where callers may connect."""
+        """Return the addresses that callers connect to."""
         return [vm.callers for vm in self.vms.values()]
 
     def write_config(self, **limits: Any) -> int:
-        """Put a new version of the configuration in force."""
-        self._version += 1
+        """Store a new version of the configuration and return the version."""
+        self._config_version += 1
         routes = []
         for group in self.groups:
-            for kind, age, _writes, _transactions in KINDS:
+            for kind, max_age, _writes, _transactions in ROUTE_KINDS:
                 route: dict[str, Any] = {
                     "name": f"r-{group}-{kind}",
                     "database": f"{group}-{kind}",
@@ -196,8 +197,8 @@
                     "service": group,
                     "maxAttempts": 2,
                 }
-                if age is not None:
-                    route["maxStalenessMs"] = int(age * 1000)
+                if max_age is not None:
+                    route["maxStalenessMs"] = int(max_age * 1000)
                 routes.append(route)
         for database in self.added_databases:
             routes.append(
@@ -213,7 +214,7 @@
             for group in self.groups
         ]
         config: dict[str, Any] = {
-            "version": self._version,
+            "version": self._config_version,
             "routes": routes,
             "services": services,
             "limits": {"transactionIdleMs": 3000, **limits},
@@ -224,25 +225,26 @@
             ]
         self._config = config
         self.store.put("config", "main", config)
-        return self._version
+        return self._config_version
 
     async def restore_store(
-        self, copy: StoreSnapshot, *, outage: float, rewrite_delay: float
+        self, snapshot: StoreSnapshot, *, outage: float, rewrite_delay: float
     ) -> None:
-        """Have the store go away and come back from an older copy.
+        """Restore the store from an older snapshot after an outage.
 
-        Members file their entries again at their next heartbeat; the operator
-        writes the newest configuration again so many seconds after the return.
+        Members write their entries again at their next heartbeat. The newest
+        configuration is written again `rewrite_delay` seconds after the
+        restore, as an operator does. `outage` is in seconds.
         """
         self.store.faults = StoreFaults(outage="reset")
         await asyncio.sleep(outage)
-        self.store.restore(copy)
+        self.store.restore(snapshot)
         self.store.faults = StoreFaults()
         await asyncio.sleep(rewrite_delay)
         self.store.put("config", "main", self._config)
 
     def remove_key(self, key: str) -> None:
-        """Take a key away; from now on the judge counts its time."""
+        """Remove a key; the checker limits its use from this moment on."""
         for team in (self.teams or {}).values():
             if key in team.keys:
                 team.keys.remove(key)
@@ -250,7 +252,7 @@
         self.checker.key_removed_at[key] = time.monotonic()
 
     def caller_keys(self, *teams: str) -> list[CallerKey]:
-        """Return the keys of these teams, all if none is named."""
+        """Return the keys of these teams, or those of all teams."""
         return [
             CallerKey(key=key, team=name)
             for name, team in (self.teams or {}).items()
@@ -259,9 +261,9 @@
         ]
 
     async def wait_ready(self, seconds: float = 20.0) -> None:
-        """Wait until all running VMs say that they are ready."""
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
+        """Wait until all running VMs report that they are ready."""
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             running = [v for v in self.vms.values() if v.process.running]
             ready = await asyncio.gather(
                 *(asyncio.to_thread(vm.is_ready) for vm in running)
@@ -273,35 +275,37 @@
         raise TimeoutError(f"VMs are not ready:\n{tails}")
 
     def read_log(self, vm: str) -> str:
-        """Return what a VM has logged so far."""
+        """Return the log of a VM."""
         path = self.vms[vm].process.log_path
         return path.read_text() if path.exists() else ""
 
-    async def _link(self, name: str, upstream: str) -> None:
+    async def _add_link(self, name: str, upstream: str) -> None:
         link = Link(name=name, listen="127.0.0.1:0", upstream=upstream)
         await link.start()
         self.links[name] = link
 
-    async def _beat(self) -> None:
-        """Have members file their entries, as they do about themselves."""
+    async def _send_heartbeats(self) -> None:
+        """Periodically write the members' entries to the store."""
         while True:
             for member in self.members():
-                self._file(member)
-            await asyncio.sleep(BEAT)
+                self._update_entry(member)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
 
-    def _file(self, member: Member) -> None:
-        silent = member.id in self.suppressed_heartbeats
+    def _update_entry(self, member: Member) -> None:
+        is_suppressed = member.id in self.suppressed_heartbeats
         if (
             not member.is_running
             or member.unresponsive
-            or silent
+            or is_suppressed
             or self.store.faults.outage
         ):
-            missed = self._beats[member.id] = self._beats.get(member.id, 0) + 1
-            if missed >= BEATS_UNTIL_GONE:
+            missed_count = self._missed_heartbeats[member.id] = (
+                self._missed_heartbeats.get(member.id, 0) + 1
+            )
+            if missed_count >= MAX_MISSED_HEARTBEATS:
                 self.store.delete("servers", member.id)
             return
-        self._beats[member.id] = 0
+        self._missed_heartbeats[member.id] = 0
         old = self.store.get("servers", member.id) or {}
         entry = {
             "service": member.group.name,
@@ -317,11 +321,11 @@
         self.store.put("servers", member.id, entry)
 
     def _add_vm(self, name: str, zone: str) -> None:
-        folder = Path(self._folder.name)
+        directory = Path(self._directory.name)
         callers, readiness, peers, metrics = (
             self._ports.reserve() for _ in range(4)
         )
-        settings = folder / f"{name}.json"
+        settings = directory / f"{name}.json"
         cfg = {
             "vm": name,
             "availability_zone": zone,
@@ -341,7 +345,7 @@
         process = ManagedProcess(
             name=name,
             argv=[sys.executable, "-m", "bamboospring.platform"],
-            log_path=folder / f"{name}.log",
+            log_path=directory / f"{name}.log",
             env={
                 **os.environ,
                 "PYTHONPATH": root,
--- a/bamboospring/testing/session_members.py
+++ b/bamboospring/testing/session_members.py
@@ -1,8 +1,8 @@
-"""Stand-ins for database members that speak the line protocol.
+"""Stand-ins for database members that use the line protocol.
 
-Members of a group share nothing but what replication carries: each has its
-own log, applies late, and may be cut from the others. A `Judge` is told of
-everything that runs.
+The members of a group share no state except through replication: each has its
+own log, applies entries with a lag and may be partitioned from the others. A
+`MemberObserver` is called for every executed statement.
 """
 
 from __future__ import annotations
@@ -14,143 +14,150 @@
 import random
 from typing import Protocol
 
-from bamboospring.testing.fault_proxy import reset
+from bamboospring.testing.fault_proxy import reset_connection
 
 __all__ = [
-    "Entry",
-    "Group",
-    "Link",
     "Member",
-    "MemberJudge",
+    "MemberConnection",
+    "MemberGroup",
+    "MemberLogEntry",
+    "MemberObserver",
     "MemberSettings",
 ]
 
-READ_LIMIT = 2 * 1024 * 1024
-TAIL_OF_PROMOTE = 1.0
+MAX_LINE_BYTES = 2 * 1024 * 1024
+STEP_DOWN_DELAY = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Entry:
-    """One commit that wrote: its place, the request ids and the items."""
+class MemberLogEntry:
+    """One commit with writes: its position, request ids and items."""
 
     term: int
-    number: int
-    requests: tuple[str, ...]
+    index: int
+    request_ids: tuple[str, ...]
     items: tuple[tuple[str, str], ...]
 
     @property
     def position(self) -> tuple[int, int]:
-        """Return the place in the log."""
-        return self.term, self.number
+        """Return the position in the log."""
+        return self.term, self.index
 
 
 @dataclass(slots=True, kw_only=True)
 class MemberSettings:
-    """How members behave; times in seconds, shares from 0 to 1."""
+    """Limits and simulated behaviour; shares are from 0 to 1.
 
-    work: float = 0.004
-    connect: float = 0.012
-    lag: float = 0.02
-    promote: float = 0.6
+    `replication_lag` is in seconds.
+    """
+
+    statement_seconds: float = 0.004
+    connect_seconds: float = 0.012
+    replication_lag: float = 0.02
+    promotion_seconds: float = 0.6
     slots: int = 3
-    queue: int = 24
+    max_waiting: int = 24
     connections: int = 22
-    lose_answers: float = 0.0
-    fail: float = 0.0
+    lost_answer_share: float = 0.0
+    failure_share: float = 0.0
 
 
-class MemberJudge(Protocol):
-    """Who is told what runs at members."""
+class MemberObserver(Protocol):
+    """Receives the events at members."""
 
-    def opened(self, member: Member, id: str) -> None:
-        """Take that a connection named the member it means."""
+    def on_connection_opened(self, member: Member, id: str) -> None:
+        """Handle the opening of a session that named the member."""
 
-    def ran(self, member: Member, link: Link, id: str, text: str) -> None:
-        """Take that a read or write runs."""
+    def on_statement(
+        self, member: Member, conn: MemberConnection, id: str, text: str
+    ) -> None:
+        """Handle the execution of a read or write."""
 
-    def committed(self, member: Member, entry: Entry) -> None:
-        """Take that a commit is in a member's log."""
+    def on_commit(self, member: Member, entry: MemberLogEntry) -> None:
+        """Handle a commit that was appended to a member's log."""
 
-    def promoted(self, group: Group, member: Member) -> None:
-        """Take that a member leads from now on."""
+    def on_promotion(self, group: MemberGroup, member: Member) -> None:
+        """Handle the promotion of a member."""
 
 
-class Group:
+class MemberGroup:
     """A primary and its replicas."""
 
     def __init__(
         self,
         *,
         name: str,
-        judge: MemberJudge,
-        knobs: MemberSettings,
+        observer: MemberObserver,
+        settings: MemberSettings,
         seed: int = 0,
     ) -> None:
         self.name = name
-        self.judge = judge
-        self.knobs = knobs
+        self.observer = observer
+        self.settings = settings
         self.members: dict[str, Member] = {}
-        self.random = random.Random(f"{seed}/{name}")
-        self.cut: set[frozenset[str]] = set()
+        self.rng = random.Random(f"{seed}/{name}")
+        self.partitioned_pairs: set[frozenset[str]] = set()
 
     def add(self, id: str, zone: str, *, primary: bool) -> Member:
-        """Add a member, not yet listening."""
+        """Add a member that does not listen yet."""
         member = Member(group=self, id=id, zone=zone, primary=primary)
         self.members[id] = member
         return member
 
-    def connected(self, a: Member, b: Member) -> bool:
-        """Tell whether two members reach each other."""
+    def can_reach(self, a: Member, b: Member) -> bool:
+        """Return whether two members can reach each other."""
         both_up = a.is_running and b.is_running
-        return both_up and frozenset((a.id, b.id)) not in self.cut
+        return (
+            both_up and frozenset((a.id, b.id)) not in self.partitioned_pairs
+        )
 
-    def replicate(self, source: Member) -> None:
-        """Have replicas receive what the primary has, each after its lag."""
+    def replicate(self, primary: Member) -> None:
+        """Send the log of a primary to all replicas, each after its lag."""
         for member in self.members.values():
-            if member is not source:
-                lag = member.lag * self.random.uniform(0.5, 1.5)
+            if member is not primary:
+                lag = member.lag * self.rng.uniform(0.5, 1.5)
                 asyncio.get_running_loop().call_later(
-                    lag, member.receive, source, len(source.log)
+                    lag, member.receive, primary, len(primary.log)
                 )
 
     async def promote(self, id: str) -> bool:
-        """Have a member lead the next term after a while."""
+        """Make a member primary of the next term after a delay."""
         member = self.members.get(id)
         if member is None or not member.is_running:
             return False
         if member.is_primary:
             return True
-        await asyncio.sleep(self.knobs.promote)
+        await asyncio.sleep(self.settings.promotion_seconds)
         if not member.is_running:
             return False
         member.term = max(m.term for m in self.members.values()) + 1
         member.is_primary = True
         member.held_term = 0
-        self.judge.promoted(self, member)
+        self.observer.on_promotion(self, member)
         for other in self.members.values():
             if other is not member:
                 other.held_term = 0
-        asyncio.create_task(self._spread(member))
+        asyncio.create_task(self._announce_primary(member))
         return True
 
-    async def _spread(self, leader: Member) -> None:
-        """Have the others follow once they reach the new primary."""
-        while leader.is_primary and leader.is_running:
+    async def _announce_primary(self, primary: Member) -> None:
+        """Make the others follow as soon as they can reach the new primary."""
+        while primary.is_primary and primary.is_running:
             for other in self.members.values():
-                if other is leader or not self.connected(leader, other):
+                if other is primary or not self.can_reach(primary, other):
                     continue
-                if other.is_primary and other.term < leader.term:
-                    other.step_down_at(TAIL_OF_PROMOTE)
+                if other.is_primary and other.term < primary.term:
+                    other.schedule_step_down(STEP_DOWN_DELAY)
                 elif not other.is_primary:
-                    other.receive(leader, len(leader.log))
+                    other.receive(primary, len(primary.log))
             await asyncio.sleep(0.1)
 
 
 class Member:
-    """One database server: log, role, slots and its listener."""
+    """One database server with its log, role, slots and listener."""
 
     def __init__(
-        self, *, group: Group, id: str, zone: str, primary: bool
+        self, *, group: MemberGroup, id: str, zone: str, primary: bool
     ) -> None:
         self.group = group
         self.id = id
@@ -158,191 +165,202 @@
         self.is_primary = primary
         self.term = 1
         self.held_term = 0
-        self.lag = group.knobs.lag
-        self.work = group.knobs.work
-        self.log: list[Entry] = []
+        self.lag = group.settings.replication_lag
+        self.statement_seconds = group.settings.statement_seconds
+        self.log: list[MemberLogEntry] = []
         self.draining = False
         self.unresponsive = False
         self.address = ""
-        self.links: set[Link] = set()
-        self.busy = 0
-        self.waiting = 0
-        self._slots = asyncio.Semaphore(group.knobs.slots)
+        self.open_connections: set[MemberConnection] = set()
+        self.busy_slots = 0
+        self.waiting_statements = 0
+        self._slots = asyncio.Semaphore(group.settings.slots)
         self._server: asyncio.Server | None = None
         self._stepping_down = False
 
     @property
     def is_running(self) -> bool:
-        """Tell whether its process runs."""
+        """Return whether the simulated process runs."""
         return self._server is not None
 
     @property
     def position(self) -> tuple[int, int]:
-        """Return the place of the newest entry."""
+        """Return the position of the newest entry."""
         return self.log[-1].position if self.log else (1, 0)
 
     async def start(self) -> None:
-        """Listen at `address`, at each start the same."""
+        """Listen on `address`, which is the same at each start."""
         host, _, port = self.address.rpartition(":")
         self.held_term = 0
         self._server = await asyncio.start_server(
-            self._accepted, host, int(port), backlog=256, limit=READ_LIMIT
+            self._handle_accept,
+            host,
+            int(port),
+            backlog=256,
+            limit=MAX_LINE_BYTES,
         )
 
     def stop(self) -> None:
-        """End at once; the log stays."""
+        """Stop immediately; the log is kept."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for link in list(self.links):
-            reset(link.writer)
+        for conn in list(self.open_connections):
+            reset_connection(conn.writer)
 
-    def receive(self, source: Member, length: int) -> None:
-        """Take the primary's log up to a length."""
-        if not self.group.connected(source, self):
+    def receive(self, primary: Member, length: int) -> None:
+        """Replace the log by the primary's log up to a length."""
+        if not self.group.can_reach(primary, self):
             return
-        if self.is_primary or source.term < self.term or not source.is_primary:
+        if (
+            self.is_primary
+            or primary.term < self.term
+            or not primary.is_primary
+        ):
             return
-        if self.held_term > source.term:
+        if self.held_term > primary.term:
             return
-        self.term = source.term
-        wanted = source.log[:length]
-        if len(wanted) < len(self.log) and self.log[: len(wanted)] == wanted:
+        self.term = primary.term
+        received = primary.log[:length]
+        if (
+            len(received) < len(self.log)
+            and self.log[: len(received)] == received
+        ):
             return
-        self.log = wanted
+        self.log = received
 
     def step_down(self, term: int) -> None:
-        """Become a replica of a higher term."""
+        """Become a replica if the term is higher than the current one."""
         if self.is_primary and self.term < term:
             self.is_primary = False
 
-    def step_down_at(self, after: float) -> None:
-        """Become a replica a while after the new primary is in reach."""
+    def schedule_step_down(self, delay: float) -> None:
+        """Become a replica `delay` seconds after reaching the new primary."""
         if self._stepping_down:
             return
         self._stepping_down = True
 
-        def done() -> None:
+        def step_down_now() -> None:
             self._stepping_down = False
             self.is_primary = False
 
-        asyncio.get_running_loop().call_later(after, done)
+        asyncio.get_running_loop().call_later(delay, step_down_now)
 
-    def commit(self, link: Link) -> Entry:
-        """Append what a transaction wrote."""
-        entry = Entry(
+    def commit(self, conn: MemberConnection) -> MemberLogEntry:
+        """Append the writes of a transaction to the log."""
+        entry = MemberLogEntry(
             term=self.term,
-            number=len(self.log) + 1,
-            requests=tuple(link.wrote),
-            items=tuple(link.items),
+            index=len(self.log) + 1,
+            request_ids=tuple(conn.write_ids),
+            items=tuple(conn.written_items),
         )
         self.log.append(entry)
-        self.group.judge.committed(self, entry)
+        self.group.observer.on_commit(self, entry)
         self.group.replicate(self)
         return entry
 
     async def use_slot(self, seconds: float) -> bool:
-        """Hold a slot for a while; False if the queue is full."""
-        if self.waiting >= self.group.knobs.queue:
+        """Use a slot for some seconds; return False if the queue is full."""
+        if self.waiting_statements >= self.group.settings.max_waiting:
             return False
-        self.waiting += 1
+        self.waiting_statements += 1
         try:
             await self._slots.acquire()
         finally:
-            self.waiting -= 1
-        self.busy += 1
+            self.waiting_statements -= 1
+        self.busy_slots += 1
         try:
             await asyncio.sleep(seconds)
         finally:
-            self.busy -= 1
+            self.busy_slots -= 1
             self._slots.release()
         return True
 
-    async def _accepted(
+    async def _handle_accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        link = Link(member=self, reader=reader, writer=writer)
+        conn = MemberConnection(member=self, reader=reader, writer=writer)
         try:
-            await link.run()
+            await conn.run()
         except (ConnectionError, asyncio.IncompleteReadError, ValueError):
             pass
         finally:
-            self.links.discard(link)
+            self.open_connections.discard(conn)
             writer.close()
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Link:
-    """One connection at a member, with its values, names and transaction.
+class MemberConnection:
+    """One connection at a member, with its values, shapes and transaction.
 
-    `who` is the word that named who connects.
+    `user` is the user name from the OPEN message.
     """
 
     member: Member
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    who: str = ""
+    user: str = ""
     values: dict[str, str] = field(default_factory=dict)
-    names: dict[str, tuple[str, str]] = field(default_factory=dict)
+    prepared_shapes: dict[str, tuple[str, str]] = field(default_factory=dict)
     state: str = "I"
     read_only: bool = False
     term: int = 0
-    wrote: list[str] = field(default_factory=list)
-    items: list[tuple[str, str]] = field(default_factory=list)
-    ran: list[str] = field(default_factory=list)
+    write_ids: list[str] = field(default_factory=list)
+    written_items: list[tuple[str, str]] = field(default_factory=list)
+    statement_ids: list[str] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Serve one connection until it ends."""
-        if not await self._greet():
+        """Handle requests until the connection ends."""
+        if not await self._handle_open():
             return
         while True:
             line = (await self.reader.readuntil(b"\r\n")).decode("latin-1")
-            word, _, rest = line[:-2].partition(" ")
-            if word != "QUERY":
+            keyword, _, rest = line[:-2].partition(" ")
+            if keyword != "QUERY":
                 return
             id, _, text = rest.partition(" ")
-            await self._query(id, text)
+            await self._handle_query(id, text)
 
-    async def _greet(self) -> bool:
+    async def _handle_open(self) -> bool:
         line = (await self.reader.readuntil(b"\r\n")).decode("latin-1")
         fields = line[:-2].split(" ")
         member = self.member
-        self.who = fields[2] if len(fields) > 2 else ""
-        wanted = fields[3] if len(fields) > 3 else member.id
-        if fields[1] != member.group.name or wanted != member.id:
+        self.user = fields[2] if len(fields) > 2 else ""
+        member_id = fields[3] if len(fields) > 3 else member.id
+        if fields[1] != member.group.name or member_id != member.id:
             await self._send(["ERROR WRONGHOST"])
             return False
-        if len(member.links) >= member.group.knobs.connections:
+        if len(member.open_connections) >= member.group.settings.connections:
             await self._send(["ERROR MAXCONN"])
             return False
-        member.links.add(self)
-        await member.use_slot(member.group.knobs.connect)
-        member.group.judge.opened(member, wanted)
+        member.open_connections.add(self)
+        await member.use_slot(member.group.settings.connect_seconds)
+        member.group.observer.on_connection_opened(member, member_id)
         await self._send([], ready=True)
         return True
 
     async def _send(self, lines: list[str], *, ready: bool = False) -> None:
         if ready:
-            term, number = self.member.position
-            lines = [*lines, f"READY {self.state} {term}.{number}"]
+            term, index = self.member.position
+            lines = [*lines, f"READY {self.state} {term}.{index}"]
         if self.member.unresponsive:
             await asyncio.Event().wait()
         data = "".join(f"{line}\r\n" for line in lines)
         self.writer.write(data.encode("latin-1"))
         await self.writer.drain()
 
-    async def _query(self, id: str, text: str) -> None:
-        after, text = _take_after(text)
-        word, _, rest = text.partition(" ")
-        refusal = self._refusal(word, rest, after)
+    async def _handle_query(self, id: str, text: str) -> None:
+        after, text = _split_after(text)
+        keyword, _, rest = text.partition(" ")
+        refusal = self._find_refusal(keyword, rest, after)
         if refusal is not None:
-            await self._refuse(refusal)
+            await self._send_refusal(refusal)
             return
-        match word:
+        match keyword:
             case "STATUS" | "PAUSE" | "RESUME" | "STEPDOWN":
-                await self._control(word, rest)
+                await self._handle_control(keyword, rest)
             case "RESET":
-                self.values, self.names = {}, {}
+                self.values, self.prepared_shapes = {}, {}
                 await self._send(["COMPLETE -"], ready=True)
             case "SET":
                 name, _, value = rest.partition(" ")
@@ -351,144 +369,156 @@
             case "PREPARE":
                 name, _, shape = rest.partition(" ")
                 mode, _, body = shape.partition(" ")
-                self.names[name] = (mode, body)
+                self.prepared_shapes[name] = (mode, body)
                 await self._send(["COMPLETE -"], ready=True)
             case "BEGIN":
-                self._begin(rest)
+                self._begin_transaction(rest)
                 await self._send(["COMPLETE -"], ready=True)
             case "ROLLBACK":
-                self._end()
+                self._end_transaction()
                 await self._send(["COMPLETE -"], ready=True)
             case "COMMIT":
-                await self._commit(id)
+                await self._handle_commit(id)
             case "READ" | "WRITE" | "EXECUTE":
-                await self._work(id, text)
+                await self._handle_statement(id, text)
             case _:
-                await self._refuse("MALFORMED")
+                await self._send_refusal("MALFORMED")
 
-    def _refusal(
-        self, word: str, rest: str, after: tuple[int, int] | None
+    def _find_refusal(
+        self, keyword: str, rest: str, after: tuple[int, int] | None
     ) -> str | None:
         member = self.member
         if after is not None and member.position < after:
             return "LAGGING"
-        if self.state == "E" and word not in ("ROLLBACK", "RESET", "STATUS"):
+        if self.state == "E" and keyword not in (
+            "ROLLBACK",
+            "RESET",
+            "STATUS",
+        ):
             return "MALFORMED"
-        if word == "BEGIN" and rest != "READ" and not member.is_primary:
+        if keyword == "BEGIN" and rest != "READ" and not member.is_primary:
             return f"READONLY {member.id}"
-        lost = self.state == "T" and not self.read_only
-        if lost and not (member.is_primary and member.term == self.term):
-            if word in ("READ", "WRITE", "EXECUTE"):
+        in_write_transaction = self.state == "T" and not self.read_only
+        if in_write_transaction and not (
+            member.is_primary and member.term == self.term
+        ):
+            if keyword in ("READ", "WRITE", "EXECUTE"):
                 return f"READONLY {member.id}"
-            if word == "COMMIT" and self.wrote:
+            if keyword == "COMMIT" and self.write_ids:
                 return f"READONLY {member.id}"
-        if word == "EXECUTE" and rest.split(" ")[0] not in self.names:
+        if (
+            keyword == "EXECUTE"
+            and rest.split(" ")[0] not in self.prepared_shapes
+        ):
             return "NOSUCHSTMT"
         return None
 
-    async def _refuse(self, code: str) -> None:
+    async def _send_refusal(self, code: str) -> None:
         if self.state == "T":
             self.state = "E"
         await self._send([f"ERROR {code}"], ready=True)
 
-    def _begin(self, mode: str) -> None:
-        self._end()
+    def _begin_transaction(self, mode: str) -> None:
+        self._end_transaction()
         self.state = "T"
         self.read_only = mode == "READ"
         self.term = self.member.term
 
-    def _end(self) -> None:
+    def _end_transaction(self) -> None:
         self.state = "I"
-        self.wrote, self.items, self.ran = [], [], []
+        self.write_ids, self.written_items, self.statement_ids = [], [], []
 
-    async def _control(self, word: str, rest: str) -> None:
+    async def _handle_control(self, keyword: str, rest: str) -> None:
         member = self.member
         if not await member.use_slot(0.0005):
-            await self._refuse("BUSY")
+            await self._send_refusal("BUSY")
             return
-        if word == "PAUSE" and not member.is_primary:
+        if keyword == "PAUSE" and not member.is_primary:
             if int(rest) > max(member.term, member.held_term):
                 member.held_term = int(rest)
-        elif word == "RESUME":
+        elif keyword == "RESUME":
             member.held_term = 0
-        elif word == "STEPDOWN":
+        elif keyword == "STEPDOWN":
             member.step_down(int(rest))
         role = "primary" if member.is_primary else "replica"
-        term, number = member.position
+        term, index = member.position
         row = (
-            f"ROW {role} {member.term} {term}.{number} {member.held_term} "
-            f"{int(member.lag * 1000)} {member.busy} {len(member.links)}"
+            f"ROW {role} {member.term} {term}.{index} {member.held_term} "
+            f"{int(member.lag * 1000)} {member.busy_slots} "
+            f"{len(member.open_connections)}"
         )
         await self._send([row, "COMPLETE -"], ready=True)
 
-    async def _work(self, id: str, text: str) -> None:
+    async def _handle_statement(self, id: str, text: str) -> None:
         member = self.member
-        writes, item, data = self._parse(text)
-        if writes and not member.is_primary:
-            await self._refuse(f"READONLY {member.id}")
+        is_write, item, data = self._parse_statement(text)
+        if is_write and not member.is_primary:
+            await self._send_refusal(f"READONLY {member.id}")
             return
-        knobs = member.group.knobs
-        if not await member.use_slot(member.work):
-            await self._refuse("BUSY")
+        settings = member.group.settings
+        if not await member.use_slot(member.statement_seconds):
+            await self._send_refusal("BUSY")
             return
-        if writes and not member.is_primary:
-            await self._refuse(f"READONLY {member.id}")
+        if is_write and not member.is_primary:
+            await self._send_refusal(f"READONLY {member.id}")
             return
-        if member.group.random.random() < knobs.fail:
-            await self._refuse("FAILED")
+        if member.group.rng.random() < settings.failure_share:
+            await self._send_refusal("FAILED")
             return
-        member.group.judge.ran(member, self, id, text)
-        self.ran.append(id)
-        if writes:
-            self.wrote.append(id)
-            self.items.append((item, data))
-        if writes and self.state == "I":
+        member.group.observer.on_statement(member, self, id, text)
+        self.statement_ids.append(id)
+        if is_write:
+            self.write_ids.append(id)
+            self.written_items.append((item, data))
+        if is_write and self.state == "I":
             member.commit(self)
-            self._end()
-        rows = [] if writes else [f"ROW {_value(member.log, item)}"]
-        await self._answer([*rows, f"COMPLETE {_sign(member.id, id)}"])
+            self._end_transaction()
+        rows = [] if is_write else [f"ROW {_item_value(member.log, item)}"]
+        await self._send_answer(
+            [*rows, f"COMPLETE {_signature(member.id, id)}"]
+        )
 
-    async def _commit(self, id: str) -> None:
+    async def _handle_commit(self, id: str) -> None:
         member = self.member
         if self.state != "T":
-            await self._refuse("MALFORMED")
+            await self._send_refusal("MALFORMED")
             return
-        await member.use_slot(member.work / 2)
-        if self.wrote:
+        await member.use_slot(member.statement_seconds / 2)
+        if self.write_ids:
             if not member.is_primary or member.term != self.term:
-                await self._refuse(f"READONLY {member.id}")
+                await self._send_refusal(f"READONLY {member.id}")
                 return
             member.commit(self)
-        self._end()
-        await self._answer([f"COMPLETE {_sign(member.id, id)}"])
-
-    async def _answer(self, lines: list[str]) -> None:
-        """Send an answer, unless it is one that gets lost."""
-        knobs = self.member.group.knobs
-        if self.member.group.random.random() < knobs.lose_answers:
-            reset(self.writer)
-            raise ConnectionError("the answer is lost")
+        self._end_transaction()
+        await self._send_answer([f"COMPLETE {_signature(member.id, id)}"])
+
+    async def _send_answer(self, lines: list[str]) -> None:
+        """Send an answer, or reset the connection to lose the answer."""
+        settings = self.member.group.settings
+        if self.member.group.rng.random() < settings.lost_answer_share:
+            reset_connection(self.writer)
+            raise ConnectionError("answer lost by a simulated fault")
         await self._send(lines, ready=True)
 
-    def _parse(self, text: str) -> tuple[bool, str, str]:
-        word, _, rest = text.partition(" ")
-        writes = word == "WRITE"
-        if word == "EXECUTE":
+    def _parse_statement(self, text: str) -> tuple[bool, str, str]:
+        keyword, _, rest = text.partition(" ")
+        is_write = keyword == "WRITE"
+        if keyword == "EXECUTE":
             name, _, rest = rest.partition(" ")
-            writes = self.names[name][0] == "WRITE"
+            is_write = self.prepared_shapes[name][0] == "WRITE"
         item, _, data = rest.partition(" ")
-        return writes, item, data
+        return is_write, item, data
 
 
-def _take_after(text: str) -> tuple[tuple[int, int] | None, str]:
+def _split_after(text: str) -> tuple[tuple[int, int] | None, str]:
     if not text.startswith("AFTER "):
         return None, text
     position, _, rest = text[6:].partition(" ")
-    term, _, number = position.partition(".")
-    return (int(term), int(number)), rest
+    term, _, index = position.partition(".")
+    return (int(term), int(index)), rest
 
 
-def _value(log: list[Entry], item: str) -> str:
+def _item_value(log: list[MemberLogEntry], item: str) -> str:
     for entry in reversed(log):
         for name, data in reversed(entry.items):
             if name == item:
@@ -496,5 +526,5 @@
     return "-"
 
 
-def _sign(member: str, id: str) -> str:
+def _signature(member: str, id: str) -> str:
     return hashlib.blake2s(f"{member}/{id}".encode()).hexdigest()[:16]
--- a/bamboospring/testing/session_platform.py
+++ b/bamboospring/testing/session_platform.py
@@ -1,8 +1,8 @@
 """A stand-in for the platform of VMs that serve sessions.
 
-Its object store and its order of promotions answer on one address each, with
-faults that can be switched on. Members and operators write to the store
-directly, as others do on a real one.
+The object store and the promotion service listen on one address each and can
+simulate faults. Members and operators write to the store directly, as they do
+on a real platform.
 """
 
 from __future__ import annotations
@@ -19,32 +19,36 @@
 from bamboospring.testing.http_server import Reply
 from bamboospring.testing.http_server import Request
 from bamboospring.testing.http_server import serve_http
-from bamboospring.testing.session_members import Group
+from bamboospring.testing.session_members import MemberGroup
 
 __all__ = [
-    "PromotionService",
     "PromotionOrder",
+    "PromotionService",
     "SessionStore",
-    "StoreSnapshot",
     "StoreFaults",
+    "StoreSnapshot",
 ]
 
-PAGE = 500
+PAGE_SIZE = 500
 
 
 @dataclass(slots=True, kw_only=True)
 class StoreFaults:
-    """What goes wrong: `down` is busy, reset, silent or empty."""
+    """The simulated faults; delays are in seconds, shares from 0 to 1.
+
+    `outage` is busy, reset, silent or empty. An unanswered write is executed
+    after `unanswered_write_delay`.
+    """
 
     outage: str = ""
-    slow: float = 0.0
-    lose: float = 0.0
-    late: float = 0.0
+    response_delay: float = 0.0
+    unanswered_write_share: float = 0.0
+    unanswered_write_delay: float = 0.0
 
 
 @dataclass(slots=True, kw_only=True)
-class Stored:
-    """One object."""
+class StoreObject:
+    """One object of the store."""
 
     kind: str
     name: str
@@ -54,7 +58,7 @@
     status: Any = None
 
     def as_json(self) -> dict[str, Any]:
-        """Return the object as the store shows it."""
+        """Return the object as it is in the API."""
         return {
             "meta": {
                 "name": self.name,
@@ -70,18 +74,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreSnapshot:
-    """All that a store holds at one moment."""
+    """The whole state of a store at one moment."""
 
     revision: int
-    objects: dict[tuple[str, str], Stored]
+    objects: dict[tuple[str, str], StoreObject]
     events: list[tuple[int, str, dict[str, Any]]]
     oldest: int
 
 
 class SessionStore:
-    """Objects by kind and name, one revision counter, watches.
+    """Objects by kind and name, with one revision counter and watches.
 
-    `era` counts how often it has come back from an older copy.
+    `era` is the number of restores from an older snapshot.
     """
 
     def __init__(self, *, seed: int = 0) -> None:
@@ -90,14 +94,14 @@
         self.revision = 1
         self.address = ""
         self.calls = 0
-        self._objects: dict[tuple[str, str], Stored] = {}
+        self._objects: dict[tuple[str, str], StoreObject] = {}
         self._events: list[tuple[int, str, dict[str, Any]]] = []
         self._oldest = 0
         self._changed = asyncio.Event()
-        self._random = random.Random(f"{seed}/store")
+        self._rng = random.Random(f"{seed}/store")
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen on a free port."""
         server = await serve_http("127.0.0.1:0", self._handle)
         self.address = listening_address(server)
 
@@ -109,14 +113,14 @@
         return self._store(kind, name, spec).revision
 
     def delete(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Delete an object."""
         found = self._objects.pop((kind, name), None)
         if found is None:
             return
         self.revision += 1
-        gone = {**found.as_json()}
-        gone["meta"] = {**gone["meta"], "revision": self.revision}
-        self._tell(kind, {"deleted": True, "object": gone})
+        deleted = {**found.as_json()}
+        deleted["meta"] = {**deleted["meta"], "revision": self.revision}
+        self._append_event(kind, {"deleted": True, "object": deleted})
 
     def get(self, kind: str, name: str) -> Any:
         """Return an object's value, None if there is none."""
@@ -124,13 +128,13 @@
         return None if found is None else found.spec
 
     def discard_history(self) -> None:
-        """Answer older watches that their history is gone."""
+        """Discard the history, so that older watches are answered with 410."""
         self._events.clear()
         self._oldest = self.revision
-        self._wake()
+        self._notify_watchers()
 
     def snapshot(self) -> StoreSnapshot:
-        """Return a copy to come back from."""
+        """Return a snapshot for `restore`."""
         return StoreSnapshot(
             revision=self.revision,
             objects={k: replace(v) for k, v in self._objects.items()},
@@ -138,22 +142,22 @@
             oldest=self._oldest,
         )
 
-    def restore(self, copy: StoreSnapshot) -> None:
-        """Come back from a copy: what was written since is gone.
+    def restore(self, snapshot: StoreSnapshot) -> None:
+        """Restore a snapshot and lose all writes after it.
 
-        Revisions go on from the copy's, so some are given out twice.
+        Revisions continue from the snapshot, so some of them are used twice.
         """
         self.era += 1
-        self.revision = copy.revision
-        self._objects = {k: replace(v) for k, v in copy.objects.items()}
-        self._events = list(copy.events)
-        self._oldest = copy.oldest
-        self._wake()
+        self.revision = snapshot.revision
+        self._objects = {k: replace(v) for k, v in snapshot.objects.items()}
+        self._events = list(snapshot.events)
+        self._oldest = snapshot.oldest
+        self._notify_watchers()
 
-    def _store(self, kind: str, name: str, spec: Any) -> Stored:
+    def _store(self, kind: str, name: str, spec: Any) -> StoreObject:
         self.revision += 1
         old = self._objects.get((kind, name))
-        stored = Stored(
+        stored = StoreObject(
             kind=kind,
             name=name,
             revision=self.revision,
@@ -161,14 +165,16 @@
             spec=spec,
         )
         self._objects[kind, name] = stored
-        self._tell(kind, {"deleted": False, "object": stored.as_json()})
+        self._append_event(
+            kind, {"deleted": False, "object": stored.as_json()}
+        )
         return stored
 
-    def _tell(self, kind: str, event: dict[str, Any]) -> None:
+    def _append_event(self, kind: str, event: dict[str, Any]) -> None:
         self._events.append((self.revision, kind, event))
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -186,25 +192,28 @@
             case "silent":
                 await asyncio.sleep(30)
                 return CLOSE
-        if faults.slow:
-            await asyncio.sleep(faults.slow)
-        if req.method != "GET" and self._random.random() < faults.lose:
-            return await self._lose(req)
+        if faults.response_delay:
+            await asyncio.sleep(faults.response_delay)
+        if (
+            req.method != "GET"
+            and self._rng.random() < faults.unanswered_write_share
+        ):
+            return await self._execute_unanswered(req)
         reply = await self._route(req)
         if reply is not None:
             reply.headers["Store-Era"] = str(self.era)
         return reply
 
-    async def _lose(self, req: Request) -> Reply | None:
-        """Do a write, perhaps later, and answer nothing."""
-        late = self.faults.late
+    async def _execute_unanswered(self, req: Request) -> Reply | None:
+        """Execute a write, possibly with a delay, and send no answer."""
+        delay = self.faults.unanswered_write_delay
 
         async def later() -> None:
-            await asyncio.sleep(late)
+            await asyncio.sleep(delay)
             await self._route(req)
 
         task = asyncio.create_task(later())
-        if not late:
+        if not delay:
             await task
         await asyncio.sleep(2)
         return CLOSE
@@ -230,34 +239,34 @@
 
     def _list(self, kind: str, after: str) -> Reply:
         names = sorted(n for k, n in self._objects if k == kind and n > after)
-        page = [self._objects[kind, n].as_json() for n in names[:PAGE]]
+        page = [self._objects[kind, n].as_json() for n in names[:PAGE_SIZE]]
         body = {
             "items": page,
-            "hasMore": len(names) > PAGE,
+            "hasMore": len(names) > PAGE_SIZE,
             "currentRev": self.revision,
         }
         return Reply(body=body)
 
     async def _watch(self, kind: str, query: dict[str, str]) -> Reply | None:
-        since, era = int(query["watch"]), self.era
+        since_revision, era = int(query["watch"]), self.era
         loop = asyncio.get_running_loop()
-        until = loop.time() + int(query.get("waitMs", "0")) / 1000
+        deadline = loop.time() + int(query.get("waitMs", "0")) / 1000
         while True:
             if self.era != era:
                 return CLOSE
-            if not self._oldest <= since <= self.revision:
+            if not self._oldest <= since_revision <= self.revision:
                 return Reply(status=410, body={})
             events = [
                 event
-                for revision, of, event in self._events
-                if revision > since and of == kind
+                for revision, event_kind, event in self._events
+                if revision > since_revision and event_kind == kind
             ]
-            left = until - loop.time()
-            if events or left <= 0:
+            remaining = deadline - loop.time()
+            if events or remaining <= 0:
                 body = {"events": events, "currentRev": self.revision}
                 return Reply(body=body)
             try:
-                await asyncio.wait_for(self._changed.wait(), left)
+                await asyncio.wait_for(self._changed.wait(), remaining)
             except TimeoutError:
                 continue
 
@@ -273,8 +282,11 @@
         found = self._objects.get((kind, name))
         if found is None:
             return Reply(status=404, body={})
-        wanted = body["meta"].get("revision")
-        if wanted is not None and wanted != found.revision:
+        expected_revision = body["meta"].get("revision")
+        if (
+            expected_revision is not None
+            and expected_revision != found.revision
+        ):
             return Reply(status=409, body=found.as_json())
         if found.spec == body["spec"]:
             return Reply(body=found.as_json())
@@ -285,8 +297,11 @@
         found = self._objects.get((kind, name))
         if found is None:
             return Reply(status=404, body={})
-        wanted = query.get("revision")
-        if wanted is not None and int(wanted) != found.revision:
+        expected_revision = query.get("revision")
+        if (
+            expected_revision is not None
+            and int(expected_revision) != found.revision
+        ):
             return Reply(status=409, body=found.as_json())
         self.delete(kind, name)
         return Reply(body={})
@@ -294,7 +309,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PromotionOrder:
-    """One order as it came in."""
+    """One promotion request as it was received."""
 
     group: str
     target: str
@@ -303,15 +318,15 @@
 
 
 class PromotionService:
-    """Takes orders of promotion and keeps them for the judge."""
+    """Accepts promotion requests and records them for the checker."""
 
-    def __init__(self, groups: dict[str, Group]) -> None:
+    def __init__(self, groups: dict[str, MemberGroup]) -> None:
         self.address = ""
         self.orders: list[PromotionOrder] = []
         self._groups = groups
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen on a free port."""
         server = await serve_http("127.0.0.1:0", self._handle)
         self.address = listening_address(server)
 
--- a/bamboospring/testing/session_soak.py
+++ b/bamboospring/testing/session_soak.py
@@ -1,13 +1,13 @@
-"""Callers with sessions and random faults, and a judge over both.
+"""A soak test of sessions: callers, random faults and a checker.
 
     python -m bamboospring.testing.session_soak --seed 1 --seconds 20
 
-Real VMs as processes; stand-ins for members, store and desk; faults from
-outside: links that are cut, silent, delayed or silent one way, members that
-crash, go dark, lag or leave, a store that is down, slow, forgetful, loses
-answers or (with --returns) comes back from an older copy, VMs that are
-stopped, paused, killed and restarted. The seed fixes
-the schedule, not how processes interleave.
+VMs are real processes; members, the store and the promotion service are
+stand-ins. The faults are external: links that are cut, delayed or silent in
+one or both directions; members that crash, do not respond, lag or drain; a
+store that is down, slow, loses its history, loses answers or (with --returns)
+is restored from an older copy; VMs that are stopped, paused, killed and
+restarted. The seed determines the schedule, not the interleaving of processes.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 from bamboospring.testing.session_callers import SessionCaller
 from bamboospring.testing.session_fleet import SessionFleet
-from bamboospring.testing.session_members import Group
+from bamboospring.testing.session_members import MemberGroup
 from bamboospring.testing.session_platform import StoreFaults
 
 __all__ = ["SessionSoakResult", "run_session_soak"]
@@ -34,21 +34,22 @@
 FAULT_SECONDS = (0.3, 4.0)
 PAUSE_SECONDS = (0.2, 1.2)
 SETTLE_SECONDS = 8.0
-# What is served in these last seconds is counted.
-COUNTED_SECONDS = 2.0
-# Far above what any fault lasts; callers work until they are told otherwise.
-LONGEST_FAULT = 60.0
-MOST_AT_ONCE = 3
-# How long the store is away before it comes back from an older copy, and
-# within how many seconds the operator has written again what it has lost.
-AWAY_SECONDS = (0.1, 2.5)
-REWRITTEN_WITHIN = 1.5
-MORE_RETURNS = 4
+# The operations that succeed in these last seconds are counted.
+MEASURED_SECONDS = 2.0
+# Far longer than any fault lasts. Callers run this much longer than the
+# schedule unless they get an earlier stop time.
+MAX_FAULT_SECONDS = 60.0
+MAX_CONCURRENT_FAULTS = 3
+# The outage of the store before it is restored from an older snapshot, and the
+# maximum time until the operator has written the lost configuration again.
+OUTAGE_SECONDS = (0.1, 2.5)
+MAX_REWRITE_DELAY = 1.5
+STORE_RESTORE_WEIGHT = 4
 
 
 @dataclass(slots=True, kw_only=True)
 class SessionSoakResult:
-    """What a soak found: `wrong` is empty if every promise was kept."""
+    """The result of a soak; no `violations` if all guarantees were kept."""
 
     violations: list[str]
     history: list[str]
@@ -62,62 +63,62 @@
 
 
 class _Faults:
-    """The faults, each of which undoes itself."""
+    """The faults, each of which is reverted by its own method."""
 
     def __init__(
-        self, fleet: SessionFleet, seed: int, *, returns: bool = False
+        self, fleet: SessionFleet, seed: int, *, restore_store: bool = False
     ) -> None:
         self.fleet = fleet
-        self._returns = returns
-        self.random = random.Random(f"{seed}/faults")
+        self._with_store_restores = restore_store
+        self.rng = random.Random(f"{seed}/faults")
         self.history: list[str] = []
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
 
-    def all(self) -> list[Fault]:
-        """Return every kind of fault.
+    def fault_kinds(self) -> list[Fault]:
+        """Return all kinds of fault.
 
-        Returns of the store are drawn more often than others.
+        Restores of the store occur several times, to be chosen more often.
         """
-        returns: list[Fault] = [self.store_returns] * MORE_RETURNS
+        restores: list[Fault] = [self.restore_store] * STORE_RESTORE_WEIGHT
         return [
-            *(returns if self._returns else ()),
+            *(restores if self._with_store_restores else ()),
             self.kill_vm,
             self.pause_vm,
             self.stop_vm,
             self.kill_most_vms,
             self.crash_primary,
             self.crash_replica,
-            self.dark_primary,
-            self.leave_primary,
+            self.make_primary_unresponsive,
+            self.drain_primary,
             self.lag_replicas,
-            self.cut_primary_from_replicas,
+            self.partition_primary,
             self.cut_member,
-            self.silence_member,
+            self.drop_member_traffic,
             self.delay_member,
-            self.store_down,
-            self.store_slow,
-            self.store_loses,
-            self.store_forgets,
-            self.vm_cut_from_store,
+            self.stop_store,
+            self.slow_store,
+            self.lose_store_answers,
+            self.discard_store_history,
+            self.cut_vm_from_store,
             self.lose_answers,
             self.change_config,
             self.reload_vm,
         ]
 
-    def note(self, what: str) -> None:
-        """Keep what is done, with its time."""
-        at = time.monotonic() - self.began
-        self.history.append(f"{at:.2f} {what}")
+    def record(self, description: str) -> None:
+        """Record a fault with its time."""
+        elapsed = time.monotonic() - self.started_at
+        self.history.append(f"{elapsed:.2f} {description}")
 
-    def _vm(self) -> str:
-        return self.random.choice(sorted(self.fleet.vms))
+    def _random_vm(self) -> str:
+        return self.rng.choice(sorted(self.fleet.vms))
 
-    def _group(self) -> Group:
-        return self.fleet.groups[self.random.choice(sorted(self.fleet.groups))]
+    def _random_group(self) -> MemberGroup:
+        return self.fleet.groups[self.rng.choice(sorted(self.fleet.groups))]
 
     async def kill_vm(self, seconds: float) -> None:
-        vm = self.fleet.vms[self._vm()]
-        self.note(f"kill {vm.name} {seconds:.1f}")
+        vm = self.fleet.vms[self._random_vm()]
+        self.record(f"kill {vm.name} {seconds:.1f}")
         vm.process.kill()
         await asyncio.sleep(seconds / 3)
         if not vm.process.running:
@@ -125,8 +126,8 @@
 
     async def kill_most_vms(self, seconds: float) -> None:
         names = sorted(self.fleet.vms)
-        names = self.random.sample(names, max(1, len(names) - 1))
-        self.note(f"kill {names}")
+        names = self.rng.sample(names, max(1, len(names) - 1))
+        self.record(f"kill {names}")
         for name in names:
             self.fleet.vms[name].process.kill()
         await asyncio.sleep(0.3)
@@ -135,15 +136,15 @@
                 self.fleet.vms[name].process.start()
 
     async def pause_vm(self, seconds: float) -> None:
-        vm = self.fleet.vms[self._vm()]
-        self.note(f"pause {vm.name} {seconds:.1f}")
+        vm = self.fleet.vms[self._random_vm()]
+        self.record(f"pause {vm.name} {seconds:.1f}")
         vm.process.freeze()
         await asyncio.sleep(seconds)
         vm.process.thaw()
 
     async def stop_vm(self, seconds: float) -> None:
-        vm = self.fleet.vms[self._vm()]
-        self.note(f"stop {vm.name}")
+        vm = self.fleet.vms[self._random_vm()]
+        self.record(f"stop {vm.name}")
         vm.process.terminate()
         for _ in range(100):
             if not vm.process.running:
@@ -153,14 +154,14 @@
             vm.process.start()
 
     async def reload_vm(self, seconds: float) -> None:
-        vm = self.fleet.vms[self._vm()]
-        self.note(f"touch settings of {vm.name}")
+        vm = self.fleet.vms[self._random_vm()]
+        self.record(f"touch settings of {vm.name}")
         vm.settings.write_text(vm.settings.read_text() + "\n")
         await asyncio.sleep(seconds)
 
     async def crash_primary(self, seconds: float) -> None:
-        member = self.fleet.primary(self._group().name)
-        self.note(f"crash {member.id} {seconds:.1f}")
+        member = self.fleet.primary(self._random_group().name)
+        self.record(f"crash {member.id} {seconds:.1f}")
         member.stop()
         await asyncio.sleep(seconds)
         if not member.is_running:
@@ -174,16 +175,16 @@
         ]
         if not members:
             return
-        member = self.random.choice(members)
-        self.note(f"crash replica {member.id} {seconds:.1f}")
+        member = self.rng.choice(members)
+        self.record(f"crash replica {member.id} {seconds:.1f}")
         member.stop()
         await asyncio.sleep(seconds)
         if not member.is_running:
             await member.start()
 
-    async def dark_primary(self, seconds: float) -> None:
-        member = self.fleet.primary(self._group().name)
-        self.note(f"dark {member.id} {seconds:.1f}")
+    async def make_primary_unresponsive(self, seconds: float) -> None:
+        member = self.fleet.primary(self._random_group().name)
+        self.record(f"unresponsive {member.id} {seconds:.1f}")
         member.unresponsive = True
         link = self.fleet.links[member.id]
         link.set_mode(mode="silent", direction="both", delay_ms=0)
@@ -191,9 +192,9 @@
         member.unresponsive = False
         link.set_mode(mode="pass", direction="both", delay_ms=0)
 
-    async def leave_primary(self, seconds: float) -> None:
-        member = self.fleet.primary(self._group().name)
-        self.note(f"leave {member.id}")
+    async def drain_primary(self, seconds: float) -> None:
+        member = self.fleet.primary(self._random_group().name)
+        self.record(f"drain {member.id}")
         member.draining = True
         self.fleet.checker.leaving_since[member.id] = time.monotonic() + 0.5
         await asyncio.sleep(7.5)
@@ -205,101 +206,107 @@
             await member.start()
 
     async def lag_replicas(self, seconds: float) -> None:
-        group = self._group()
-        self.note(f"lag in {group.name} {seconds:.1f}")
+        group = self._random_group()
+        self.record(f"lag in {group.name} {seconds:.1f}")
         for member in group.members.values():
-            member.lag = self.random.choice((0.1, 0.6, 1.5, 30.0))
+            member.lag = self.rng.choice((0.1, 0.6, 1.5, 30.0))
         await asyncio.sleep(seconds)
         for member in group.members.values():
-            member.lag = group.knobs.lag
+            member.lag = group.settings.replication_lag
 
-    async def cut_primary_from_replicas(self, seconds: float) -> None:
-        group = self._group()
+    async def partition_primary(self, seconds: float) -> None:
+        group = self._random_group()
         primary = self.fleet.primary(group.name)
-        self.note(f"cut {primary.id} from its replicas {seconds:.1f}")
+        self.record(f"partition {primary.id} from its replicas {seconds:.1f}")
         pairs = {
             frozenset((primary.id, other))
             for other in group.members
             if other != primary.id
         }
-        group.cut |= pairs
+        group.partitioned_pairs |= pairs
         await asyncio.sleep(seconds)
-        group.cut -= pairs
+        group.partitioned_pairs -= pairs
 
-    async def _member_link(self, mode: str, seconds: float) -> None:
-        member = self.random.choice(self.fleet.members())
-        direction = self.random.choice(("both", "to_upstream", "to_client"))
-        self.note(f"{mode} {direction} {member.id} {seconds:.1f}")
+    async def _set_member_link(self, mode: str, seconds: float) -> None:
+        member = self.rng.choice(self.fleet.members())
+        direction = self.rng.choice(("both", "to_upstream", "to_client"))
+        self.record(f"{mode} {direction} {member.id} {seconds:.1f}")
         link = self.fleet.links[member.id]
         link.set_mode(mode=mode, direction=direction, delay_ms=120)
         await asyncio.sleep(seconds)
         link.set_mode(mode="pass", direction="both", delay_ms=0)
 
     async def cut_member(self, seconds: float) -> None:
-        await self._member_link("cut", seconds)
+        await self._set_member_link("cut", seconds)
 
-    async def silence_member(self, seconds: float) -> None:
-        await self._member_link("silent", seconds)
+    async def drop_member_traffic(self, seconds: float) -> None:
+        await self._set_member_link("silent", seconds)
 
     async def delay_member(self, seconds: float) -> None:
-        await self._member_link("delay", seconds)
+        await self._set_member_link("delay", seconds)
 
-    async def _store_fault(self, faults: StoreFaults, seconds: float) -> None:
-        self.note(f"store {faults} {seconds:.1f}")
+    async def _set_store_faults(
+        self, faults: StoreFaults, seconds: float
+    ) -> None:
+        self.record(f"store {faults} {seconds:.1f}")
         self.fleet.store.faults = faults
         await asyncio.sleep(seconds)
         self.fleet.store.faults = StoreFaults()
 
-    async def store_down(self, seconds: float) -> None:
-        how = self.random.choice(("busy", "reset", "silent"))
-        await self._store_fault(StoreFaults(outage=how), seconds * 1.5)
+    async def stop_store(self, seconds: float) -> None:
+        outage = self.rng.choice(("busy", "reset", "silent"))
+        await self._set_store_faults(StoreFaults(outage=outage), seconds * 1.5)
 
-    async def store_slow(self, seconds: float) -> None:
-        slow = self.random.choice((0.1, 0.4))
-        await self._store_fault(StoreFaults(slow=slow), seconds)
+    async def slow_store(self, seconds: float) -> None:
+        delay = self.rng.choice((0.1, 0.4))
+        await self._set_store_faults(
+            StoreFaults(response_delay=delay), seconds
+        )
 
-    async def store_loses(self, seconds: float) -> None:
-        late = self.random.choice((0.0, 1.0, 3.0))
-        faults = StoreFaults(lose=0.4, late=late)
-        await self._store_fault(faults, seconds)
+    async def lose_store_answers(self, seconds: float) -> None:
+        delay = self.rng.choice((0.0, 1.0, 3.0))
+        faults = StoreFaults(
+            unanswered_write_share=0.4, unanswered_write_delay=delay
+        )
+        await self._set_store_faults(faults, seconds)
 
-    async def store_forgets(self, seconds: float) -> None:
-        self.note("store forgets")
+    async def discard_store_history(self, seconds: float) -> None:
+        self.record("store discards its history")
         self.fleet.store.discard_history()
 
-    async def store_returns(self, seconds: float) -> None:
-        copy = self.fleet.store.snapshot()
+    async def restore_store(self, seconds: float) -> None:
+        snapshot = self.fleet.store.snapshot()
         await asyncio.sleep(seconds)
-        away = self.random.uniform(*AWAY_SECONDS)
-        rewritten_after = self.random.uniform(0.0, REWRITTEN_WITHIN)
-        self.note(
-            f"store back from a copy of {seconds:.1f} s before, away "
-            f"{away:.1f}, rewritten after {rewritten_after:.1f}"
+        outage = self.rng.uniform(*OUTAGE_SECONDS)
+        rewrite_delay = self.rng.uniform(0.0, MAX_REWRITE_DELAY)
+        self.record(
+            f"store restored from a copy of {seconds:.1f} s before, outage "
+            f"{outage:.1f}, rewritten after {rewrite_delay:.1f}"
         )
         await self.fleet.restore_store(
-            copy, outage=away, rewrite_delay=rewritten_after
+            snapshot, outage=outage, rewrite_delay=rewrite_delay
         )
 
-    async def vm_cut_from_store(self, seconds: float) -> None:
-        name = self._vm()
-        mode = self.random.choice(("cut", "freeze", "silent"))
-        self.note(f"{mode} {name} from the store {seconds:.1f}")
+    async def cut_vm_from_store(self, seconds: float) -> None:
+        name = self._random_vm()
+        mode = self.rng.choice(("cut", "freeze", "silent"))
+        self.record(f"{mode} {name} from the store {seconds:.1f}")
         link = self.fleet.links[f"{name}-store"]
         link.set_mode(mode=mode, direction="both", delay_ms=0)
         await asyncio.sleep(seconds * 1.5)
         link.set_mode(mode="pass", direction="both", delay_ms=0)
 
     async def lose_answers(self, seconds: float) -> None:
-        self.note(f"lose answers {seconds:.1f}")
-        self.fleet.member_settings.lose_answers = 0.05
-        self.fleet.member_settings.fail = self.random.choice((0.0, 0.05))
+        self.record(f"lose answers {seconds:.1f}")
+        self.fleet.member_settings.lost_answer_share = 0.05
+        self.fleet.member_settings.failure_share = self.rng.choice((0.0, 0.05))
         await asyncio.sleep(seconds)
-        self.fleet.member_settings.lose_answers = 0.0
-        self.fleet.member_settings.fail = 0.0
+        self.fleet.member_settings.lost_answer_share = 0.0
+        self.fleet.member_settings.failure_share = 0.0
 
     async def change_config(self, seconds: float) -> None:
-        self.note("change the configuration")
-        for _ in range(self.random.randint(1, 6)):
+        self.record("change the configuration")
+        for _ in range(self.rng.randint(1, 6)):
             self.fleet.write_config()
             await asyncio.sleep(0.1)
 
@@ -312,9 +319,9 @@
     callers: int = CALLERS,
     restore_store: bool = False,
 ) -> SessionSoakResult:
-    """Run callers and faults, let all settle, and return what was found."""
+    """Run callers and faults, wait until the fleet settles, and check."""
     fleet = SessionFleet(vms=vms, seed=seed)
-    faults = _Faults(fleet, seed, returns=restore_store)
+    faults = _Faults(fleet, seed, restore_store=restore_store)
     try:
         await fleet.start()
         workers = [
@@ -327,21 +334,24 @@
             )
             for number in range(callers)
         ]
-        faults.began = time.monotonic()
-        until = faults.began + seconds
-        latest = until + LONGEST_FAULT
-        work = [asyncio.create_task(w.run(latest)) for w in workers]
-        await _inject(faults, until)
-        # Counted from the end of the last fault, which may be seconds later.
+        faults.started_at = time.monotonic()
+        end = faults.started_at + seconds
+        stop_at = end + MAX_FAULT_SECONDS
+        tasks = [asyncio.create_task(w.run(stop_at)) for w in workers]
+        await _inject_faults(faults, end)
+        # The last fault may end seconds after the schedule, so the settling
+        # time starts at its end.
         for worker in workers:
             worker.stop_at = time.monotonic() + SETTLE_SECONDS
-        await asyncio.sleep(SETTLE_SECONDS - COUNTED_SECONDS)
-        before = sum(len(w.latencies) for w in workers)
-        await asyncio.gather(*work)
-        served = sum(len(w.latencies) for w in workers) - before
+        await asyncio.sleep(SETTLE_SECONDS - MEASURED_SECONDS)
+        served_before = sum(len(w.latencies) for w in workers)
+        await asyncio.gather(*tasks)
+        served = sum(len(w.latencies) for w in workers) - served_before
         fleet.checker.check_promotions(fleet.promotion_service.orders)
         if served < callers * 4:
-            fleet.checker.violations.append(f"only {served} served at the end")
+            fleet.checker.violations.append(
+                f"only {served} operations succeeded at the end"
+            )
         outcomes: Counter[str] = Counter()
         for worker in workers:
             outcomes.update(worker.outcomes)
@@ -357,22 +367,22 @@
         await fleet.close()
 
 
-async def _inject(faults: _Faults, until: float) -> None:
-    """Start faults one after the other, up to some at once."""
+async def _inject_faults(faults: _Faults, end: float) -> None:
+    """Start random faults, at most MAX_CONCURRENT_FAULTS at a time."""
     running: set[asyncio.Task[None]] = set()
-    kinds = faults.all()
-    while time.monotonic() < until:
+    kinds = faults.fault_kinds()
+    while time.monotonic() < end:
         running = {task for task in running if not task.done()}
-        if len(running) < MOST_AT_ONCE:
-            fault = faults.random.choice(kinds)
-            length = faults.random.uniform(*FAULT_SECONDS)
-            running.add(asyncio.ensure_future(fault(length)))
-        await asyncio.sleep(faults.random.uniform(*PAUSE_SECONDS))
+        if len(running) < MAX_CONCURRENT_FAULTS:
+            fault = faults.rng.choice(kinds)
+            duration = faults.rng.uniform(*FAULT_SECONDS)
+            running.add(asyncio.ensure_future(fault(duration)))
+        await asyncio.sleep(faults.rng.uniform(*PAUSE_SECONDS))
     await asyncio.gather(*running)
 
 
 def main() -> int:
-    """Run one soak from the command line; 1 if anything was wrong."""
+    """Run one soak from the command line; return 1 after violations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=20.0)
@@ -381,9 +391,11 @@
     parser.add_argument(
         "--returns",
         action="store_true",
-        help="have the store come back from older copies as well",
+        help="also restore the store from older copies",
+    )
+    parser.add_argument(
+        "--logs", default="", help="directory for the logs of the VMs"
     )
-    parser.add_argument("--logs", default="", help="keep VMs' logs here")
     args = parser.parse_args()
     result = asyncio.run(
         run_session_soak(
--- a/bamboospring/testing/target.py
+++ b/bamboospring/testing/target.py
@@ -1,4 +1,4 @@
-"""A database member to test against: SQL, a log, terms, one write lock.
+"""A stand-in for a database member with SQL, a log, terms and a write lock.
 
     python -m bamboospring.testing.target --name a1 --listen 127.0.0.1:0 \
         --directory DIR --schema FILE.sql
@@ -13,26 +13,28 @@
 import asyncio
 from pathlib import Path
 
-from bamboospring.testing.loop_monitor import watch_loop
-from bamboospring.testing.target_engine import Engine
-from bamboospring.testing.target_engine import Knobs
+from bamboospring.testing.loop_monitor import report_loop_delays
+from bamboospring.testing.target_engine import TargetEngine
+from bamboospring.testing.target_engine import TargetSettings
 from bamboospring.testing.target_replication import Replication
 from bamboospring.testing.target_server import TargetProtocol
-from bamboospring.testing.target_store import Store
+from bamboospring.testing.target_store import TargetStore
 
 __all__ = ["main"]
 
 
 def parse_args(argv: list[str] | None) -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="bamboospring.testing.target")
     parser.add_argument("--name", required=True)
     parser.add_argument("--listen", default="127.0.0.1:0")
     parser.add_argument("--directory", type=Path, required=True)
     parser.add_argument("--schema", type=Path)
     for name in ("--group", "--availability-zone", "--site"):
-        parser.add_argument(name, default="", help="only for the reader")
-    defaults = Knobs()
+        parser.add_argument(
+            name, default="", help="informational, shown in process listings"
+        )
+    defaults = TargetSettings()
     parser.add_argument("--slots", type=int, default=defaults.slots)
     parser.add_argument(
         "--connections", type=int, default=defaults.connections
@@ -45,13 +47,13 @@
     return parser.parse_args(argv)
 
 
-def build_engine(args: argparse.Namespace) -> Engine:
-    """Open the store and build the engine over it."""
+def build_engine(args: argparse.Namespace) -> TargetEngine:
+    """Open the store and create the engine on it."""
     schema = args.schema.read_text() if args.schema else ""
-    return Engine(
+    return TargetEngine(
         name=args.name,
-        store=Store(directory=args.directory, schema=schema),
-        knobs=Knobs(
+        store=TargetStore(directory=args.directory, schema=schema),
+        settings=TargetSettings(
             slots=args.slots,
             connections=args.connections,
             connect_ms=args.connect_ms,
@@ -63,7 +65,7 @@
 
 
 async def serve(args: argparse.Namespace) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process ends."""
     engine = build_engine(args)
     host, port = args.listen.rsplit(":", 1)
     loop = asyncio.get_running_loop()
@@ -75,9 +77,9 @@
     replication = Replication(engine=engine)
     async with asyncio.TaskGroup() as tasks:
         tasks.create_task(server.serve_forever())
-        tasks.create_task(replication.pull_for_ever())
-        tasks.create_task(replication.apply_for_ever())
-        tasks.create_task(watch_loop())
+        tasks.create_task(replication.run_pull_loop())
+        tasks.create_task(replication.run_apply_loop())
+        tasks.create_task(report_loop_delays())
 
 
 def main(argv: list[str] | None = None) -> None:
