--- a/bamboospring/testing/target_session.py
+++ b/bamboospring/testing/target_connections.py
@@ -1,4 +1,4 @@
-"""Statement connections of the stand-in target, and its write lock."""
+"""Statement connections of the target stand-in, and its write lock."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 __all__ = [
     "DEFAULT_DEADLINE_MS",
-    "Refused",
-    "Session",
-    "Statement",
-    "Transaction",
+    "StatementConnection",
+    "StatementRefused",
+    "TargetStatement",
+    "TargetTransaction",
     "WriteLock",
 ]
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Statement:
+class TargetStatement:
     """One `/execute` request."""
 
     id: int
@@ -41,35 +41,35 @@
 
     @property
     def needs_primary(self) -> bool:
-        """Tell whether only a primary may run this."""
+        """Return whether only a primary may run the statement."""
         return self.write or self.step is not None
 
 
 @dataclass(slots=True, kw_only=True)
-class Transaction:
-    """An open transaction; a read-only one has a connection of its own."""
+class TargetTransaction:
+    """An open transaction; a read-only one has its own connection."""
 
     conn: sqlite3.Connection
     read_only: bool
     index: int
     statements: list[StoredStatement] = field(default_factory=list)
-    asked: list[StoredStatement] = field(default_factory=list)
+    requested: list[StoredStatement] = field(default_factory=list)
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Session:
+class StatementConnection:
     """One statement connection."""
 
     holder: str
     abort: Callable[[], None]
     idle_tx_ms: int = 0
-    number: int = 0
-    transaction: Transaction | None = None
-    idle: asyncio.TimerHandle | None = None
+    connection_id: int = 0
+    transaction: TargetTransaction | None = None
+    idle_timer: asyncio.TimerHandle | None = None
 
 
-class Refused(Exception):
-    """Nothing ran; carries the protocol's reason."""
+class StatementRefused(Exception):
+    """The statement was not executed; `reason` is part of the protocol."""
 
     def __init__(self, reason: str, message: str = "") -> None:
         super().__init__(reason)
@@ -78,25 +78,29 @@
 
 
 class WriteLock:
-    """The target's single write lock, first come first served."""
+    """The target's single write lock, granted in FIFO order."""
 
     def __init__(self) -> None:
-        self.owner: Session | None = None
-        self._waiting: deque[tuple[Session, asyncio.Future[None]]] = deque()
+        self.owner: StatementConnection | None = None
+        self._waiting: deque[
+            tuple[StatementConnection, asyncio.Future[None]]
+        ] = deque()
 
-    def take_now(self, session: Session) -> bool:
-        """Take the lock if it is free."""
+    def try_acquire(self, connection: StatementConnection) -> bool:
+        """Acquire the lock if it is free; return whether it was."""
         if self.owner is not None:
             return False
-        self.owner = session
+        self.owner = connection
         return True
 
-    async def take(self, session: Session, timeout: float) -> bool:
-        """Wait for the lock; False when the time is over."""
-        if self.take_now(session):
+    async def acquire(
+        self, connection: StatementConnection, timeout: float
+    ) -> bool:
+        """Wait for the lock; return False after `timeout` seconds."""
+        if self.try_acquire(connection):
             return True
         fut = asyncio.get_running_loop().create_future()
-        item = (session, fut)
+        item = (connection, fut)
         self._waiting.append(item)
         try:
             await asyncio.wait([fut], timeout=timeout)
@@ -105,9 +109,9 @@
                 self._waiting.remove(item)
         return fut.done()
 
-    def release(self, session: Session) -> None:
-        """Give the lock to the next one that waits."""
-        if self.owner is not session:
+    def release(self, connection: StatementConnection) -> None:
+        """Release the lock and grant it to the next waiting connection."""
+        if self.owner is not connection:
             return
         self.owner = None
         if self._waiting:
--- a/bamboospring/testing/target_engine.py
+++ b/bamboospring/testing/target_engine.py
@@ -1,8 +1,8 @@
-"""What a target does with statements and orders, without any HTTP.
+"""The behaviour of a target on statements and orders, without HTTP.
 
-All state changes happen in steps that don't yield to the event loop, so a
-fence and a commit never overlap: a commit is either in the log before the
-fence was made durable, or is refused.
+Every state change runs without yielding to the event loop, so a fence and a
+commit never overlap: a commit is either in the log before the fence is
+durable, or it is refused.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 import orjson
 
 from bamboospring.blackboard import Role
-from bamboospring.testing.target_session import DEFAULT_DEADLINE_MS
-from bamboospring.testing.target_session import Refused
-from bamboospring.testing.target_session import Session
-from bamboospring.testing.target_session import Statement
-from bamboospring.testing.target_session import Transaction
-from bamboospring.testing.target_session import WriteLock
-from bamboospring.testing.target_store import Effect
+from bamboospring.testing.target_connections import DEFAULT_DEADLINE_MS
+from bamboospring.testing.target_connections import StatementConnection
+from bamboospring.testing.target_connections import StatementRefused
+from bamboospring.testing.target_connections import TargetStatement
+from bamboospring.testing.target_connections import TargetTransaction
+from bamboospring.testing.target_connections import WriteLock
 from bamboospring.testing.target_store import run_sql
-from bamboospring.testing.target_store import Store
+from bamboospring.testing.target_store import SqlResult
 from bamboospring.testing.target_store import StoredStatement
+from bamboospring.testing.target_store import TargetStore
 
 __all__ = [
     "DEFAULT_DEADLINE_MS",
-    "Engine",
-    "Knobs",
-    "Refused",
-    "Session",
-    "Statement",
     "dumps",
+    "StatementConnection",
+    "StatementRefused",
+    "TargetEngine",
+    "TargetSettings",
+    "TargetStatement",
 ]
 
 CONTROL_WORDS = frozenset(
@@ -47,8 +47,8 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Knobs:
-    """Limits and simulated delays; all can be changed while it runs."""
+class TargetSettings:
+    """Limits and simulated delays, which can be changed at run time."""
 
     slots: int = 3
     connections: int = 20
@@ -59,53 +59,56 @@
     leaving: bool = False
 
 
-def digest_of(statements: list[StoredStatement]) -> str:
-    """Return what tells whether a key is used for the same request."""
+def request_digest(statements: list[StoredStatement]) -> str:
+    """Return the digest by which a key is matched with its request."""
     return hashlib.sha256(orjson.dumps(statements)).hexdigest()
 
 
 def check_sql(sql: str) -> None:
-    """Refuse statements that would steer the transaction themselves."""
+    """Raise an error for statements that control transactions."""
     words = sql.split(None, 1)
     if not words or words[0].upper().rstrip(";") in CONTROL_WORDS:
-        raise sqlite3.ProgrammingError("statement not allowed here")
+        raise sqlite3.ProgrammingError("control statements are not allowed")
 
 
-class Engine:
-    """A target's behaviour over its store."""
+class TargetEngine:
+    """The behaviour of a target on its store."""
 
-    def __init__(self, *, name: str, store: Store, knobs: Knobs) -> None:
+    def __init__(
+        self, *, name: str, store: TargetStore, settings: TargetSettings
+    ) -> None:
         self.name = name
         self.store = store
-        self.knobs = knobs
+        self.settings = settings
         self.lock = WriteLock()
-        self.sessions: set[Session] = set()
+        self.open_connections: set[StatementConnection] = set()
         self.counters: Counter[str] = Counter()
         self.busy_slots = 0
-        self._watchers: set[asyncio.Future[None]] = set()
-        self._pauser = Session(holder="", abort=lambda: None)
-        self._pause_end: asyncio.TimerHandle | None = None
-
-        # Above all numbers of an earlier life: an order to end a connection
-        # of that life, tried until it is answered, must not end a new one.
-        self._session_numbers = time.time_ns() // 1000
-
-    def changed(self) -> None:
-        """Wake all that wait for a change of position, term or role."""
-        watchers = self._watchers
-        self._watchers = set()
-        for fut in watchers:
+        self._change_waiters: set[asyncio.Future[None]] = set()
+        self._pause_owner = StatementConnection(holder="", abort=lambda: None)
+        self._pause_timer: asyncio.TimerHandle | None = None
+
+        # Higher than all ids of an earlier run. A request to terminate a
+        # connection of that run is repeated until it is answered and must
+        # not terminate a new connection.
+        self._last_connection_id = time.time_ns() // 1000
+
+    def notify_change(self) -> None:
+        """Wake all tasks that wait for a change of position, term or role."""
+        waiters = self._change_waiters
+        self._change_waiters = set()
+        for fut in waiters:
             if not fut.done():
                 fut.set_result(None)
 
-    async def wait_change(self, timeout: float) -> None:
+    async def wait_for_change(self, timeout: float) -> None:
         """Wait for the next change, at most `timeout` seconds."""
         fut = asyncio.get_running_loop().create_future()
-        self._watchers.add(fut)
+        self._change_waiters.add(fut)
         try:
             await asyncio.wait([fut], timeout=max(timeout, 0))
         finally:
-            self._watchers.discard(fut)
+            self._change_waiters.discard(fut)
 
     def probe(self) -> dict[str, Any]:
         """Return the body of `/probe`."""
@@ -119,17 +122,17 @@
             "last_term": store.last_term,
             "primary": store.primary_address,
             "start": store.start,
-            "leaving": self.knobs.leaving,
+            "leaving": self.settings.leaving,
         }
 
     # Orders.
 
     def fence(self, term: int) -> bool:
-        """Stop at a term; False when the term is lower than ours.
+        """Fence the target at a term; return False if the term is lower.
 
-        Statement connections stay: what waits or is on its way at the old
-        term is refused for its term. A closed connection would leave its
-        caller in doubt of a write that never ran.
+        Statement connections stay open, and statements that wait or arrive
+        with the old term are refused for their term. If the connections were
+        closed, a caller could not know that its write never ran.
         """
         store = self.store
         if term < store.term:
@@ -140,11 +143,11 @@
         store.set_role(term=term, role=Role.FENCED, primary_address="")
         self.counters["fenced"] += 1
         self._end_pause()
-        self.changed()
+        self.notify_change()
         return True
 
     def promote(self, term: int) -> bool:
-        """Become primary at the term at which this target was fenced."""
+        """Become primary of the term at which this target was fenced."""
         store = self.store
         if term != store.term or store.role == Role.REPLICA:
             return False
@@ -152,11 +155,11 @@
             return True
         store.open_term()
         self.counters["promoted"] += 1
-        self.changed()
+        self.notify_change()
         return True
 
     def follow(self, term: int, primary_address: str) -> bool:
-        """Take entries from a primary of a term that isn't lower."""
+        """Replicate from the primary of a term that is not lower."""
         store = self.store
         if term < store.term:
             return False
@@ -168,31 +171,31 @@
         store.set_role(
             term=term, role=Role.REPLICA, primary_address=primary_address
         )
-        self.changed()
+        self.notify_change()
         return True
 
     def _end_transactions(self) -> None:
-        for session in list(self.sessions):
-            self.roll_back(session)
+        for connection in list(self.open_connections):
+            self.roll_back(connection)
 
     async def pause(self, term: int, wait: float, duration: float) -> bool:
-        """Hold new writes back once those under way have ended.
+        """Block new writes after the current write has ended.
 
-        The writes wait for the write lock as they do behind any other, and
-        go on when the pause ends by itself after `duration` seconds. False
-        if this isn't the term's primary or the wait was too short.
+        The writes wait for the write lock and continue when the pause expires
+        after `duration` seconds. Return False if this target is not the
+        primary of the term, or if the lock is not free within `wait` seconds.
         """
         if not self._is_primary_at(term):
             return False
-        if self.lock.owner is not self._pauser:
-            if not await self.lock.take(self._pauser, wait):
+        if self.lock.owner is not self._pause_owner:
+            if not await self.lock.acquire(self._pause_owner, wait):
                 return False
         if not self._is_primary_at(term):
-            self.lock.release(self._pauser)
+            self.lock.release(self._pause_owner)
             return False
-        self._cancel_pause_end()
+        self._cancel_pause_timer()
         loop = asyncio.get_running_loop()
-        self._pause_end = loop.call_later(duration, self._end_pause)
+        self._pause_timer = loop.call_later(duration, self._end_pause)
         self.counters["paused"] += 1
         return True
 
@@ -207,221 +210,241 @@
         return self.store.role is Role.PRIMARY and self.store.term == term
 
     def _end_pause(self) -> None:
-        self._cancel_pause_end()
-        self.lock.release(self._pauser)
+        self._cancel_pause_timer()
+        self.lock.release(self._pause_owner)
 
-    def _cancel_pause_end(self) -> None:
-        if self._pause_end is not None:
-            self._pause_end.cancel()
-            self._pause_end = None
+    def _cancel_pause_timer(self) -> None:
+        if self._pause_timer is not None:
+            self._pause_timer.cancel()
+            self._pause_timer = None
 
     # Statement connections.
 
-    def open_session(self, session: Session) -> bool:
-        """Count one more statement connection, if the limit allows it."""
-        if len(self.sessions) >= self.knobs.connections:
+    def open_connection(self, connection: StatementConnection) -> bool:
+        """Add a statement connection; return False if the limit is reached."""
+        if len(self.open_connections) >= self.settings.connections:
             self.counters["refused_connections"] += 1
             return False
-        self.sessions.add(session)
-        self._session_numbers += 1
-        session.number = self._session_numbers
+        self.open_connections.add(connection)
+        self._last_connection_id += 1
+        connection.connection_id = self._last_connection_id
         self.counters["opened_connections"] += 1
-        self._peak("peak_connections", len(self.sessions))
+        self._record_peak("peak_connections", len(self.open_connections))
         return True
 
-    def terminate(self, numbers: list[int]) -> int:
-        """End the connections of these numbers; return how many there were."""
-        found = [each for each in self.sessions if each.number in numbers]
-        for session in found:
-            session.abort()
-        return len(found)
-
-    def _watch_idle(self, session: Session) -> None:
-        """End the connection if its open transaction does nothing for long."""
-        if session.transaction is not None and session.idle_tx_ms:
+    def terminate(self, connection_ids: list[int]) -> int:
+        """Close the connections with these ids and return their number."""
+        connections = [
+            conn
+            for conn in self.open_connections
+            if conn.connection_id in connection_ids
+        ]
+        for connection in connections:
+            connection.abort()
+        return len(connections)
+
+    def _start_idle_timer(self, connection: StatementConnection) -> None:
+        """Start the timeout for a connection with an idle transaction."""
+        if connection.transaction is not None and connection.idle_tx_ms:
             loop = asyncio.get_running_loop()
-            session.idle = loop.call_later(
-                session.idle_tx_ms / 1000, session.abort
+            connection.idle_timer = loop.call_later(
+                connection.idle_tx_ms / 1000, connection.abort
             )
 
-    def _stop_watch(self, session: Session) -> None:
-        if session.idle is not None:
-            session.idle.cancel()
-            session.idle = None
-
-    def close_session(self, session: Session) -> None:
-        """Roll back what is open and forget the connection."""
-        self._stop_watch(session)
-        self.roll_back(session)
-        self.lock.release(session)
-        self.sessions.discard(session)
-
-    def roll_back(self, session: Session) -> None:
-        """End the session's transaction without effect."""
-        tx = session.transaction
+    def _stop_idle_timer(self, connection: StatementConnection) -> None:
+        if connection.idle_timer is not None:
+            connection.idle_timer.cancel()
+            connection.idle_timer = None
+
+    def close_connection(self, connection: StatementConnection) -> None:
+        """Roll back an open transaction and remove the connection."""
+        self._stop_idle_timer(connection)
+        self.roll_back(connection)
+        self.lock.release(connection)
+        self.open_connections.discard(connection)
+
+    def roll_back(self, connection: StatementConnection) -> None:
+        """Roll back the open transaction of a connection."""
+        tx = connection.transaction
         if tx is None:
             return
-        session.transaction = None
+        connection.transaction = None
         if tx.read_only:
             tx.conn.close()
             return
         if tx.conn.in_transaction:
             tx.conn.execute("ROLLBACK")
-        self.lock.release(session)
+        self.lock.release(connection)
 
-    def _peak(self, name: str, value: int) -> None:
+    def _record_peak(self, name: str, value: int) -> None:
         self.counters[name] = max(self.counters[name], value)
 
     # Statements.
 
-    def must_wait(self, session: Session, stmt: Statement) -> bool:
-        """Tell whether a statement can't be run in one step."""
-        if self.knobs.statement_ms > 0:
+    def must_wait(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> bool:
+        """Return whether a statement has to wait before it runs."""
+        if self.settings.statement_ms > 0:
             return True
         busy = self.lock.owner is not None
-        return busy and self._wants_lock(session, stmt)
+        return busy and self._needs_lock(connection, stmt)
 
-    def _wants_lock(self, session: Session, stmt: Statement) -> bool:
+    def _needs_lock(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> bool:
         opens = stmt.step in (None, "begin")
-        return stmt.write and opens and session.transaction is None
+        return stmt.write and opens and connection.transaction is None
 
     async def execute(
-        self, session: Session, stmt: Statement
+        self, connection: StatementConnection, stmt: TargetStatement
     ) -> dict[str, Any]:
         """Run a statement that may have to wait."""
-        self._stop_watch(session)
-        held = self._wants_lock(session, stmt)
+        self._stop_idle_timer(connection)
+        has_lock = self._needs_lock(connection, stmt)
         try:
-            self._check(session, stmt)
-            if held and not await self.lock.take(
-                session, stmt.deadline_ms / 1000
+            self._check(connection, stmt)
+            if has_lock and not await self.lock.acquire(
+                connection, stmt.deadline_ms / 1000
             ):
-                held = False
-                raise Refused("lock_timeout")
-            self._check(session, stmt)
-            self._take_slot()
-        except Refused as exc:
-            if held:
-                self.lock.release(session)
-            self._watch_idle(session)
-            return self._refused(stmt, exc)
+                has_lock = False
+                raise StatementRefused("lock_timeout")
+            self._check(connection, stmt)
+            self._acquire_slot()
+        except StatementRefused as exc:
+            if has_lock:
+                self.lock.release(connection)
+            self._start_idle_timer(connection)
+            return self._refused_answer(stmt, exc)
         except asyncio.CancelledError:
-            # The lock may have been handed over in the very step in which
-            # the connection was lost; without this nobody would free it.
-            self.lock.release(session)
+            # The lock may have been passed to this connection in the same
+            # step in which it was lost. Without this release the lock would
+            # never be freed.
+            self.lock.release(connection)
             raise
         try:
-            await asyncio.sleep(self.knobs.statement_ms / 1000)
-            return self._run_checked(session, stmt)
+            await asyncio.sleep(self.settings.statement_ms / 1000)
+            return self._run_checked(connection, stmt)
         finally:
             self.busy_slots -= 1
-            self._release_if_idle(session)
+            self._release_if_idle(connection)
 
-    def execute_now(self, session: Session, stmt: Statement) -> dict[str, Any]:
+    def execute_now(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> dict[str, Any]:
         """Run a statement for which `must_wait` was False."""
-        self._stop_watch(session)
+        self._stop_idle_timer(connection)
         try:
-            self._check(session, stmt)
-            self._take_slot()
-        except Refused as exc:
-            self._watch_idle(session)
-            return self._refused(stmt, exc)
+            self._check(connection, stmt)
+            self._acquire_slot()
+        except StatementRefused as exc:
+            self._start_idle_timer(connection)
+            return self._refused_answer(stmt, exc)
         try:
-            if self._wants_lock(session, stmt):
-                self.lock.take_now(session)
-            return self._run_checked(session, stmt)
+            if self._needs_lock(connection, stmt):
+                self.lock.try_acquire(connection)
+            return self._run_checked(connection, stmt)
         finally:
             self.busy_slots -= 1
-            self._release_if_idle(session)
+            self._release_if_idle(connection)
 
-    def _release_if_idle(self, session: Session) -> None:
-        tx = session.transaction
+    def _release_if_idle(self, connection: StatementConnection) -> None:
+        tx = connection.transaction
         if tx is None or tx.read_only:
-            self.lock.release(session)
-        self._watch_idle(session)
+            self.lock.release(connection)
+        self._start_idle_timer(connection)
 
-    def _take_slot(self) -> None:
-        if self.busy_slots >= self.knobs.slots:
-            raise Refused("slots")
+    def _acquire_slot(self) -> None:
+        if self.busy_slots >= self.settings.slots:
+            raise StatementRefused("slots")
         self.busy_slots += 1
-        self._peak("peak_slots", self.busy_slots)
+        self._record_peak("peak_slots", self.busy_slots)
+
+    def _check(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> None:
+        """Raise `StatementRefused` if the statement must not run now.
 
-    def _check(self, session: Session, stmt: Statement) -> None:
-        """Refuse what must not run here, now or after a wait."""
+        Called before and after the statement waits.
+        """
         store = self.store
         new_work = stmt.step in (None, "begin")
-        if self.knobs.leaving and new_work:
-            raise Refused("leaving")
+        if self.settings.leaving and new_work:
+            raise StatementRefused("leaving")
         if stmt.needs_primary or stmt.term:
             if stmt.term < store.term:
-                raise Refused("term")
+                raise StatementRefused("term")
             if stmt.term > store.term:
-                raise Refused("behind")
+                raise StatementRefused("behind")
         if stmt.needs_primary and store.role != Role.PRIMARY:
-            raise Refused("not_primary")
+            raise StatementRefused("not_primary")
         if stmt.min_index > store.applied:
-            raise Refused("behind")
-        if new_work and session.transaction is not None:
-            raise Refused("no_tx", "a transaction is already open")
-        if not new_work and session.transaction is None:
-            raise Refused("no_tx")
+            raise StatementRefused("behind")
+        if new_work and connection.transaction is not None:
+            raise StatementRefused("no_tx", "a transaction is already open")
+        if not new_work and connection.transaction is None:
+            raise StatementRefused("no_tx")
 
     def _run_checked(
-        self, session: Session, stmt: Statement
+        self, connection: StatementConnection, stmt: TargetStatement
     ) -> dict[str, Any]:
         # The term or role may have changed while the statement waited for
-        # its lock or service time; without this second look a write could
-        # be answered by a primary that was fenced meanwhile.
+        # the lock or its service time. Without this second check a fenced
+        # primary could acknowledge a write.
         try:
-            self._check(session, stmt)
-            answer = self._run(session, stmt)
-        except Refused as exc:
-            return self._refused(stmt, exc)
+            self._check(connection, stmt)
+            answer = self._run(connection, stmt)
+        except StatementRefused as exc:
+            return self._refused_answer(stmt, exc)
         except SQL_ERRORS as exc:
-            self._undo(session)
-            return self._failed(stmt, str(exc))
+            self._roll_back_failed(connection)
+            return self._failed_answer(stmt, str(exc))
         self.counters["executed"] += 1
         return answer
 
-    def _undo(self, session: Session) -> None:
-        if session.transaction is not None:
-            self.roll_back(session)
+    def _roll_back_failed(self, connection: StatementConnection) -> None:
+        if connection.transaction is not None:
+            self.roll_back(connection)
         elif self.store.writer.in_transaction:
-            if self.lock.owner is session:
+            if self.lock.owner is connection:
                 self.store.writer.execute("ROLLBACK")
 
-    def _run(self, session: Session, stmt: Statement) -> dict[str, Any]:
+    def _run(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> dict[str, Any]:
         match stmt.step:
             case None if stmt.write:
                 return self._autocommit(stmt)
             case None:
                 check_sql(stmt.sql)
-                effect = run_sql(self.store.reader, stmt.sql, stmt.params)
-                return self._ok(stmt, effect, self.store.applied)
+                result = run_sql(self.store.reader, stmt.sql, stmt.params)
+                return self._ok_answer(stmt, result, self.store.applied)
             case "begin":
-                return self._begin(session, stmt)
+                return self._begin(connection, stmt)
             case "statement":
-                return self._inside(session, stmt)
+                return self._run_in_transaction(connection, stmt)
             case "commit":
-                return self._commit(session, stmt)
+                return self._commit(connection, stmt)
             case "rollback":
-                self.roll_back(session)
-                return self._ok(stmt, Effect(), self.store.applied)
+                self.roll_back(connection)
+                return self._ok_answer(stmt, SqlResult(), self.store.applied)
             case _:
-                raise Refused("no_tx", "unknown step")
+                raise StatementRefused("no_tx", "unknown step")
 
-    def _autocommit(self, stmt: Statement) -> dict[str, Any]:
+    def _autocommit(self, stmt: TargetStatement) -> dict[str, Any]:
         check_sql(stmt.sql)
-        digest = digest_of([(stmt.sql, stmt.params)])
-        if replay := self._replay(stmt, digest):
+        digest = request_digest([(stmt.sql, stmt.params)])
+        if replay := self._find_replay(stmt, digest):
             return replay
         writer = self.store.writer
         writer.execute("BEGIN IMMEDIATE")
-        effect = run_sql(writer, stmt.sql, stmt.params)
+        result = run_sql(writer, stmt.sql, stmt.params)
         statements = [(stmt.sql, stmt.params)]
-        return self._finish(stmt, effect, statements, digest)
+        return self._commit_writer(stmt, result, statements, digest)
 
-    def _begin(self, session: Session, stmt: Statement) -> dict[str, Any]:
+    def _begin(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> dict[str, Any]:
         read_only = not stmt.write
         conn = self.store.writer
         if read_only:
@@ -430,101 +453,107 @@
             conn.execute("SELECT 1 FROM target_state").fetchone()
         else:
             conn.execute("BEGIN IMMEDIATE")
-        session.transaction = Transaction(
+        connection.transaction = TargetTransaction(
             conn=conn, read_only=read_only, index=self.store.applied
         )
         if stmt.sql:
-            return self._inside(session, stmt)
-        return self._ok(stmt, Effect(), self.store.applied)
+            return self._run_in_transaction(connection, stmt)
+        return self._ok_answer(stmt, SqlResult(), self.store.applied)
 
-    def _inside(self, session: Session, stmt: Statement) -> dict[str, Any]:
-        tx = session.transaction
+    def _run_in_transaction(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> dict[str, Any]:
+        tx = connection.transaction
         assert tx is not None
         check_sql(stmt.sql)
         item = (stmt.sql, stmt.params)
-        guard = not stmt.write and not tx.read_only
-        if guard:
+        is_guarded = not stmt.write and not tx.read_only
+        if is_guarded:
             tx.conn.execute("PRAGMA query_only=1")
         try:
-            effect = run_sql(tx.conn, stmt.sql, stmt.params)
+            result = run_sql(tx.conn, stmt.sql, stmt.params)
         finally:
-            if guard:
+            if is_guarded:
                 tx.conn.execute("PRAGMA query_only=0")
-        tx.asked.append(item)
+        tx.requested.append(item)
         if stmt.write:
             tx.statements.append(item)
-        return self._ok(stmt, effect, tx.index)
+        return self._ok_answer(stmt, result, tx.index)
 
-    def _commit(self, session: Session, stmt: Statement) -> dict[str, Any]:
-        tx = session.transaction
+    def _commit(
+        self, connection: StatementConnection, stmt: TargetStatement
+    ) -> dict[str, Any]:
+        tx = connection.transaction
         assert tx is not None
         if tx.read_only:
-            self.roll_back(session)
-            return self._ok(stmt, Effect(), tx.index)
-        digest = digest_of(tx.asked)
+            self.roll_back(connection)
+            return self._ok_answer(stmt, SqlResult(), tx.index)
+        digest = request_digest(tx.requested)
         try:
-            replay = self._replay(stmt, digest)
-        except Refused:
-            self.roll_back(session)
+            replay = self._find_replay(stmt, digest)
+        except StatementRefused:
+            self.roll_back(connection)
             raise
         if replay is not None:
-            self.roll_back(session)
+            self.roll_back(connection)
             return replay
         if not tx.statements and not stmt.key:
-            self.roll_back(session)
-            return self._ok(stmt, Effect(), tx.index)
-        answer = self._finish(stmt, Effect(), tx.statements, digest)
-        session.transaction = None
+            self.roll_back(connection)
+            return self._ok_answer(stmt, SqlResult(), tx.index)
+        answer = self._commit_writer(stmt, SqlResult(), tx.statements, digest)
+        connection.transaction = None
         return answer
 
-    def _finish(
+    def _commit_writer(
         self,
-        stmt: Statement,
-        effect: Effect,
+        stmt: TargetStatement,
+        result: SqlResult,
         statements: list[StoredStatement],
         digest: str,
     ) -> dict[str, Any]:
         """Commit the writer's transaction with its log entry and key."""
         store = self.store
-        answer = self._ok(stmt, effect, store.received + 1)
+        answer = self._ok_answer(stmt, result, store.received + 1)
         if stmt.key:
             item = self._key_insert(stmt, digest, answer)
             run_sql(store.writer, *item)
             statements = [*statements, item]
-        store.append_own(statements)
+        store.append_entry(statements)
         store.writer.execute("COMMIT")
-        store.committed_own()
+        store.record_commit()
         answer["received"] = store.received
         answer["applied"] = store.applied
-        self.changed()
+        self.notify_change()
         return answer
 
     def _key_insert(
-        self, stmt: Statement, digest: str, answer: dict[str, Any]
+        self, stmt: TargetStatement, digest: str, answer: dict[str, Any]
     ) -> StoredStatement:
         sql = "INSERT INTO idempotency_keys VALUES (?, ?, ?, ?)"
         body = dumps(answer).decode()
         return (sql, [stmt.caller, stmt.key, digest, body])
 
-    def _replay(self, stmt: Statement, digest: str) -> dict[str, Any] | None:
+    def _find_replay(
+        self, stmt: TargetStatement, digest: str
+    ) -> dict[str, Any] | None:
         if not stmt.key:
             return None
-        found = self.store.find_key(stmt.caller, stmt.key)
-        if found is None:
+        stored = self.store.find_key(stmt.caller, stmt.key)
+        if stored is None:
             return None
-        if found[0] != digest:
-            raise Refused("key_reused")
+        if stored[0] != digest:
+            raise StatementRefused("key_reused")
         self.counters["replayed"] += 1
-        first = orjson.loads(found[1])
-        answer = self._ok(stmt, Effect(), first["index"])
+        first_answer = orjson.loads(stored[1])
+        answer = self._ok_answer(stmt, SqlResult(), first_answer["index"])
         for name in ("columns", "rows", "rowcount"):
-            answer[name] = first[name]
+            answer[name] = first_answer[name]
         answer["replayed"] = True
         return answer
 
     # Answers.
 
-    def _answer(self, stmt: Statement, outcome: str) -> dict[str, Any]:
+    def _answer(self, stmt: TargetStatement, outcome: str) -> dict[str, Any]:
         store = self.store
         answer = {
             "id": stmt.id,
@@ -542,28 +571,32 @@
             "rowcount": 0,
             "replayed": False,
         }
-        if self.knobs.leaving:
+        if self.settings.leaving:
             answer["leaving"] = True
         return answer
 
-    def _ok(
-        self, stmt: Statement, effect: Effect, index: int
+    def _ok_answer(
+        self, stmt: TargetStatement, result: SqlResult, index: int
     ) -> dict[str, Any]:
         answer = self._answer(stmt, "ok")
         answer["index"] = index
-        answer["columns"] = effect.columns
-        answer["rows"] = effect.rows
-        answer["rowcount"] = effect.rowcount
+        answer["columns"] = result.columns
+        answer["rows"] = result.rows
+        answer["rowcount"] = result.rowcount
         return answer
 
-    def _refused(self, stmt: Statement, exc: Refused) -> dict[str, Any]:
+    def _refused_answer(
+        self, stmt: TargetStatement, exc: StatementRefused
+    ) -> dict[str, Any]:
         self.counters["refused_" + exc.reason] += 1
         answer = self._answer(stmt, "refused")
         answer["reason"] = exc.reason
         answer["message"] = exc.message or None
         return answer
 
-    def _failed(self, stmt: Statement, message: str) -> dict[str, Any]:
+    def _failed_answer(
+        self, stmt: TargetStatement, message: str
+    ) -> dict[str, Any]:
         self.counters["failed"] += 1
         answer = self._answer(stmt, "failed")
         answer["reason"] = "sql"
@@ -572,5 +605,5 @@
 
 
 def dumps(body: Any) -> bytes:
-    """Encode an answer; binary values are given in hexadecimal."""
+    """Encode an answer; binary values are encoded as hexadecimal."""
     return orjson.dumps(body, default=bytes.hex)
--- a/bamboospring/testing/target_replication.py
+++ b/bamboospring/testing/target_replication.py
@@ -1,9 +1,9 @@
-"""How a replica pulls the primary's log, and shows it later.
+"""Replication: pulls the primary's log and applies it with a lag.
 
-A pull names the newest entry here by index and term. The primary answers
-with what follows, or with a mismatch and the newest place where the logs may
-agree. Own entries are dropped only once the primary has sent what replaces
-them.
+A pull contains the index and term of the newest local entry. The primary
+answers with the entries after it, or with a mismatch and the newest index at
+which the logs may agree. Local entries are dropped only when the primary has
+sent the entries that replace them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import orjson
 
 from bamboospring.blackboard import Role
-from bamboospring.testing.target_engine import Engine
+from bamboospring.testing.target_engine import TargetEngine
 from bamboospring.testing.target_store import LogEntry
 
 __all__ = ["Replication"]
@@ -28,8 +28,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Epoch:
-    """The order under which a pull was started."""
+class FollowState:
+    """The term, role and primary under which a pull was started."""
 
     term: int
     role: Role
@@ -37,7 +37,7 @@
 
 
 class LogClient:
-    """A small HTTP client for the primary's `/log`."""
+    """A small HTTP client for `/log` of the primary."""
 
     def __init__(self, *, address: str) -> None:
         self.address = address
@@ -45,7 +45,7 @@
         self._writer: asyncio.StreamWriter | None = None
 
     async def get(self, path: str) -> tuple[int, dict[str, Any]]:
-        """Return status and body; any error closes the connection."""
+        """Return status and body; close the connection on any error."""
         try:
             async with asyncio.timeout(PULL_TIMEOUT):
                 return await self._get(path)
@@ -72,7 +72,7 @@
         return int(lines[0].split()[1]), orjson.loads(body)
 
     def close(self) -> None:
-        """Close the connection; the next call opens another."""
+        """Close the connection; the next call opens a new one."""
         if self._writer is not None:
             self._writer.close()
         self._reader = None
@@ -80,47 +80,52 @@
 
 
 class Replication:
-    """Keeps a target at its primary's heels while it is a replica."""
+    """Replicates the primary's log while the target is a replica."""
 
-    def __init__(self, *, engine: Engine) -> None:
+    def __init__(self, *, engine: TargetEngine) -> None:
         self.engine = engine
         self._client: LogClient | None = None
-        self._due: deque[tuple[float, int]] = deque()
+        self._apply_queue: deque[tuple[float, int]] = deque()
 
-    def _epoch(self) -> Epoch:
+    def _follow_state(self) -> FollowState:
         store = self.engine.store
-        return Epoch(
+        return FollowState(
             term=store.term,
             role=store.role,
             primary_address=store.primary_address,
         )
 
-    async def pull_for_ever(self) -> None:
-        """Pull from whatever primary this target follows."""
+    async def run_pull_loop(self) -> None:
+        """Pull continuously from the primary that this target follows."""
         while True:
-            epoch = self._epoch()
-            if epoch.role != Role.REPLICA or not epoch.primary_address:
-                await self.engine.wait_change(PULL_WAIT_MS / 1000)
+            following = self._follow_state()
+            if following.role != Role.REPLICA or not following.primary_address:
+                await self.engine.wait_for_change(PULL_WAIT_MS / 1000)
                 continue
             try:
-                await self._pull_epoch(epoch)
+                await self._pull_while_following(following)
             except (OSError, EOFError, TimeoutError, ValueError):
                 await asyncio.sleep(RETRY_DELAY)
 
-    async def _pull_epoch(self, epoch: Epoch) -> None:
+    async def _pull_while_following(self, following: FollowState) -> None:
         client = self._client
-        if client is None or client.address != epoch.primary_address:
+        if client is None or client.address != following.primary_address:
             if client is not None:
                 client.close()
-            client = self._client = LogClient(address=epoch.primary_address)
+            client = self._client = LogClient(
+                address=following.primary_address
+            )
         store = self.engine.store
         after = store.received
         while True:
             last_term = store.term_at(after)
-            status, body = await self._ask(client, epoch, after, last_term)
-            # A fence or another primary may have come while we waited: what
-            # the old primary sent is then no longer ours to take.
-            if self._epoch() != epoch:
+            status, body = await self._request_entries(
+                client, following, after, last_term
+            )
+            # The target may have been fenced or follow another primary since
+            # the pull began. The entries of the old primary must not be
+            # stored then.
+            if self._follow_state() != following:
                 return
             if status != 200:
                 await asyncio.sleep(RETRY_DELAY)
@@ -128,24 +133,28 @@
             if body.get("mismatch"):
                 after = max(min(after - 1, body["hint"]), 0)
                 continue
-            await self._store(epoch, after, body["entries"])
-            if self._epoch() != epoch:
+            await self._store_entries(following, after, body["entries"])
+            if self._follow_state() != following:
                 return
             after = store.received
 
-    async def _ask(
-        self, client: LogClient, epoch: Epoch, after: int, last_term: Any
+    async def _request_entries(
+        self,
+        client: LogClient,
+        following: FollowState,
+        after: int,
+        last_term: Any,
     ) -> tuple[int, dict[str, Any]]:
         pull = asyncio.ensure_future(
             client.get(
                 f"/log?after={after}&last_term={last_term}"
-                f"&term={epoch.term}&wait_ms={PULL_WAIT_MS}"
+                f"&term={following.term}&wait_ms={PULL_WAIT_MS}"
             )
         )
         try:
-            while not pull.done() and self._epoch() == epoch:
+            while not pull.done() and self._follow_state() == following:
                 change = asyncio.ensure_future(
-                    self.engine.wait_change(PULL_TIMEOUT)
+                    self.engine.wait_for_change(PULL_TIMEOUT)
                 )
                 await asyncio.wait(
                     [pull, change], return_when=asyncio.FIRST_COMPLETED
@@ -157,15 +166,15 @@
         finally:
             pull.cancel()
 
-    async def _store(
-        self, epoch: Epoch, after: int, entries: list[list[Any]]
+    async def _store_entries(
+        self, following: FollowState, after: int, entries: list[list[Any]]
     ) -> None:
         if not entries:
             return
-        knobs = self.engine.knobs
-        if knobs.receive_lag_ms > 0:
-            await asyncio.sleep(knobs.receive_lag_ms / 1000)
-            if self._epoch() != epoch:
+        settings = self.engine.settings
+        if settings.receive_lag_ms > 0:
+            await asyncio.sleep(settings.receive_lag_ms / 1000)
+            if self._follow_state() != following:
                 return
         store = self.engine.store
         store.store_entries(
@@ -175,27 +184,29 @@
                 for index, term, body in entries
             ],
         )
-        if knobs.apply_lag_ms > 0:
-            due = asyncio.get_running_loop().time()
-            due += knobs.apply_lag_ms / 1000
-            self._due.append((due, store.received))
+        if settings.apply_lag_ms > 0:
+            apply_at = asyncio.get_running_loop().time()
+            apply_at += settings.apply_lag_ms / 1000
+            self._apply_queue.append((apply_at, store.received))
         else:
-            self._due.clear()
+            self._apply_queue.clear()
             store.apply_through(store.received)
-        self.engine.changed()
+        self.engine.notify_change()
 
-    async def apply_for_ever(self) -> None:
-        """Show entries to readers once their lag has passed."""
+    async def run_apply_loop(self) -> None:
+        """Apply entries, which makes them visible, after their lag."""
         loop = asyncio.get_running_loop()
         store = self.engine.store
-        self._due.append((loop.time(), store.received))
+        self._apply_queue.append((loop.time(), store.received))
         while True:
-            while self._due and self._due[0][0] <= loop.time():
-                await self._apply_to(self._due.popleft()[1])
-            if self._due:
-                await asyncio.sleep(max(self._due[0][0] - loop.time(), 0))
+            while self._apply_queue and self._apply_queue[0][0] <= loop.time():
+                await self._apply_to(self._apply_queue.popleft()[1])
+            if self._apply_queue:
+                await asyncio.sleep(
+                    max(self._apply_queue[0][0] - loop.time(), 0)
+                )
             else:
-                await self.engine.wait_change(PULL_WAIT_MS / 1000)
+                await self.engine.wait_for_change(PULL_WAIT_MS / 1000)
 
     async def _apply_to(self, index: int) -> None:
         store = self.engine.store
@@ -204,5 +215,5 @@
             if store.applied >= last:
                 return
             store.apply_through(min(store.applied + APPLY_BATCH, last))
-            self.engine.changed()
+            self.engine.notify_change()
             await asyncio.sleep(0)
--- a/bamboospring/testing/target_store.py
+++ b/bamboospring/testing/target_store.py
@@ -1,13 +1,13 @@
-"""The durable half of the target stand-in: data, log, term and role.
+"""The durable state of the target stand-in: data, log, term and role.
 
-Everything lives in one sqlite file in write-ahead mode, and what belongs
-together is written in one database transaction. So a process that is killed
-at any instant comes back with a prefix of its log and with the data, the
-idempotency keys, the term and the role that fit that prefix.
+All state is in one SQLite file in write-ahead mode, and related changes are
+written in one database transaction. A process that is killed at any time
+therefore restarts with a prefix of its log and with the data, the idempotency
+keys, the term and the role that match this prefix.
 
-Replication is by statement: a log entry holds the statements of one
-transaction. Statements must therefore be deterministic; `random()` or the
-current time in SQL would make members differ.
+Replication is statement-based: a log entry holds the statements of one
+transaction. Statements must therefore be deterministic; with `random()` or
+the current time in SQL the members would diverge.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from bamboospring.blackboard import Role
 
 __all__ = [
-    "Effect",
     "LogEntry",
+    "SqlResult",
     "StoredStatement",
-    "Store",
+    "TargetStore",
 ]
 
 BASE_TABLES = """
@@ -43,14 +43,14 @@
     answer BLOB NOT NULL, PRIMARY KEY (caller, key)) WITHOUT ROWID;
 """
 
-OWN_TABLES = ("target_log", "target_state")
+INTERNAL_TABLES = ("target_log", "target_state")
 
 StoredStatement = tuple[str, list[Any]]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LogEntry:
-    """One transaction in the log; no statements means: opens its term."""
+    """One transaction in the log; one without statements opens a term."""
 
     index: int
     term: int
@@ -62,8 +62,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Effect:
-    """What one SQL statement gave."""
+class SqlResult:
+    """The result of one SQL statement."""
 
     columns: list[str] = field(default_factory=list)
     rows: list[list[Any]] = field(default_factory=list)
@@ -84,22 +84,24 @@
     return found
 
 
-def run_sql(conn: sqlite3.Connection, sql: str, params: list[Any]) -> Effect:
-    """Run one statement and fetch all it returns."""
+def run_sql(
+    conn: sqlite3.Connection, sql: str, params: list[Any]
+) -> SqlResult:
+    """Run one statement and fetch its whole result."""
     cursor = conn.execute(sql, params)
     if cursor.description is None:
-        return Effect(rowcount=max(cursor.rowcount, 0))
+        return SqlResult(rowcount=max(cursor.rowcount, 0))
     columns = [column[0] for column in cursor.description]
     rows = [list(row) for row in cursor.fetchall()]
-    return Effect(columns=columns, rows=rows, rowcount=len(rows))
+    return SqlResult(columns=columns, rows=rows, rowcount=len(rows))
 
 
-class Store:
-    """The log, the data and the agreed state of one target.
+class TargetStore:
+    """The log, the data, the term and the role of one target.
 
-    There is one writing connection; the caller makes sure that only one
-    transaction is open on it. Positions and the term are kept in memory as
-    well, always equal to what the file has committed.
+    There is one connection for writes; callers must ensure that only one
+    transaction is open on it. Positions and the term are cached in memory and
+    always equal the committed state of the file.
     """
 
     def __init__(self, *, directory: Path, schema: str = "") -> None:
@@ -129,7 +131,7 @@
         return conn
 
     def open_reader(self) -> sqlite3.Connection:
-        """Open one more connection that can only read."""
+        """Open another connection, which is read-only."""
         conn = self._open()
         conn.execute("PRAGMA query_only=1")
         return conn
@@ -172,14 +174,14 @@
         self.start = row[0] or 0
 
     def close(self) -> None:
-        """Close the file; what is open is rolled back."""
+        """Close the file; open transactions are rolled back."""
         self.reader.close()
         self.writer.close()
 
     # Term and role.
 
     def set_role(self, *, term: int, role: Role, primary_address: str) -> None:
-        """Commit a term and role; nothing is answered before this returns."""
+        """Commit a term and role, before the order is answered."""
         self.writer.execute(
             "UPDATE target_state SET term = ?, role = ?, primary_address = ?",
             [term, role.value, primary_address],
@@ -191,23 +193,23 @@
         self.primary_address = primary_address
 
     def open_term(self) -> None:
-        """Become primary: append the entry that opens the term."""
+        """Become primary and append the entry that opens the term."""
         self.apply_through(self.received)
         self.writer.execute("BEGIN IMMEDIATE")
-        self.append_own([])
+        self.append_entry([])
         self.writer.execute(
             "UPDATE target_state SET role = ?, primary_address = ''",
             [Role.PRIMARY.value],
         )
         self.writer.execute("COMMIT")
-        self.committed_own()
+        self.record_commit()
         self.role = Role.PRIMARY
         self.primary_address = ""
 
-    # The primary's own entries.
+    # Entries written by the primary.
 
-    def append_own(self, statements: list[StoredStatement]) -> int:
-        """Add an entry to the open transaction and return its index."""
+    def append_entry(self, statements: list[StoredStatement]) -> int:
+        """Append an entry in the open transaction and return its index."""
         index = self.received + 1
         self.writer.execute(
             "INSERT INTO target_log VALUES (?, ?, ?)",
@@ -216,8 +218,8 @@
         self.writer.execute("UPDATE target_state SET applied = ?", [index])
         return index
 
-    def committed_own(self) -> None:
-        """Note that the transaction with the new entry was committed."""
+    def record_commit(self) -> None:
+        """Update the positions after the commit of a new entry."""
         self.received += 1
         self.applied = self.received
         self.last_term = self.term
@@ -245,7 +247,7 @@
         return [LogEntry(index=i, term=t, body=b) for i, t, b in rows]
 
     def match_hint(self, index: int, term: int) -> int:
-        """Return the newest index at which the asker's log may match."""
+        """Return the newest index at which the replica's log may match."""
         row = self.writer.execute(
             "SELECT idx FROM target_log WHERE idx <= ? AND term <= ? "
             "ORDER BY idx DESC LIMIT 1",
@@ -254,44 +256,46 @@
         return row[0] if row is not None else 0
 
     def store_entries(self, after: int, entries: list[LogEntry]) -> None:
-        """Store what the primary sent after a matching index.
+        """Store the entries that the primary sent after a matching index.
 
-        Entries of our own beyond the match that differ are dropped in the
-        same transaction, so that a crash leaves one log or the other.
+        Differing local entries after the match are dropped in the same
+        transaction, so that a crash leaves either the old or the new log.
         """
-        fresh = self._beyond_match(after, entries)
-        if fresh is None:
+        new_entries = self._new_entries(after, entries)
+        if new_entries is None:
             return
         self.writer.execute("BEGIN IMMEDIATE")
-        keep = fresh[0].index - 1 if fresh else after
-        if keep < self.received:
-            self._truncate(keep)
+        last_kept = new_entries[0].index - 1 if new_entries else after
+        if last_kept < self.received:
+            self._truncate(last_kept)
         self.writer.executemany(
             "INSERT INTO target_log VALUES (?, ?, ?)",
-            [(entry.index, entry.term, entry.body) for entry in fresh],
+            [(entry.index, entry.term, entry.body) for entry in new_entries],
         )
         self.writer.execute("COMMIT")
         self._load_applied()
-        self._note_stored(keep, fresh)
+        self._update_position(last_kept, new_entries)
 
-    def _beyond_match(
+    def _new_entries(
         self, after: int, entries: list[LogEntry]
     ) -> list[LogEntry] | None:
-        """Return the entries that are new here, or None for nothing to do."""
-        for place, entry in enumerate(entries):
+        """Return the entries that are not in the log, or None."""
+        for index, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
-                return entries[place:]
+                return entries[index:]
         return None
 
-    def _note_stored(self, keep: int, fresh: list[LogEntry]) -> None:
-        if keep < self.received:
+    def _update_position(
+        self, last_kept: int, new_entries: list[LogEntry]
+    ) -> None:
+        if last_kept < self.received:
             self._load_log_end()
             return
-        for entry in fresh:
+        for entry in new_entries:
             if entry.term == self.term and self.start == 0:
                 self.start = entry.index
-        self.received = fresh[-1].index
-        self.last_term = fresh[-1].term
+        self.received = new_entries[-1].index
+        self.last_term = new_entries[-1].term
 
     def _load_applied(self) -> None:
         row = self.writer.execute(
@@ -299,14 +303,16 @@
         ).fetchone()
         self.applied = row[0]
 
-    def _truncate(self, keep: int) -> None:
-        """Drop entries beyond `keep`; undo them by building the data anew."""
-        self.writer.execute("DELETE FROM target_log WHERE idx > ?", [keep])
-        if self.applied <= keep:
+    def _truncate(self, last_kept: int) -> None:
+        """Drop entries after `last_kept`; rebuild the data to undo them."""
+        self.writer.execute(
+            "DELETE FROM target_log WHERE idx > ?", [last_kept]
+        )
+        if self.applied <= last_kept:
             return
         self._drop_data()
         self._create_data()
-        self._run_entries(0, keep)
+        self._run_entries(0, last_kept)
 
     def _drop_data(self) -> None:
         rows = self.writer.execute(
@@ -314,7 +320,7 @@
             "('table', 'view') AND name NOT LIKE 'sqlite_%'"
         ).fetchall()
         for kind, name in rows:
-            if name not in OWN_TABLES:
+            if name not in INTERNAL_TABLES:
                 self.writer.execute(f'DROP {kind} "{name}"')
 
     def _run_entries(self, after: int, last: int) -> None:
@@ -324,7 +330,7 @@
         self.writer.execute("UPDATE target_state SET applied = ?", [last])
 
     def apply_through(self, last: int) -> None:
-        """Show entries up to an index to readers."""
+        """Apply entries up to an index, which makes them visible."""
         if last <= self.applied:
             return
         self.writer.execute("BEGIN IMMEDIATE")
@@ -335,7 +341,7 @@
     # Idempotency keys.
 
     def find_key(self, caller: str, key: str) -> tuple[str, bytes] | None:
-        """Return digest and first answer of a key that was used before."""
+        """Return the digest and first answer of a used key, or None."""
         row = self.writer.execute(
             "SELECT digest, answer FROM idempotency_keys "
             "WHERE caller = ? AND key = ?",
--- a/bamboospring/testing/topology.py
+++ b/bamboospring/testing/topology.py
@@ -1,20 +1,20 @@
-"""The estates that tests, the demo and the bench bring up, as plain data."""
+"""The fleet topologies that tests, the demo and the benchmarks start."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-__all__ = ["CARPATICA", "Topology", "MALABAR", "SMALL"]
+__all__ = ["CARPATICA", "MALABAR", "SMALL", "Topology"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Topology:
-    """Sizes and places of one estate.
+    """The sizes and locations of one fleet.
 
-    `slots` and `connections` hold for each target, `connect_ms` is what a
-    new statement connection costs, `schema` is SQL run at every target
-    before the first start. `far` names the VMs and targets that stand in
-    another region.
+    `slots` and `connections` are limits of each target, `connect_ms` is the
+    duration of opening a statement connection, and `schema` is SQL that each
+    target runs before its first start. `remote_names` are the VMs and targets
+    in the remote region.
     """
 
     name: str
--- a/features/overload.feature
+++ b/features/overload.feature
@@ -1,9 +1,10 @@
-Feature: Under too much load the work that can be done is done
+Feature: Overload is refused without loss of throughput
 
   Scenario: One caller floods, another one goes on
-    # A caller sends several times what the targets can do. It gets what there
-    # is, and for the rest a refusal at once that says when to come back.
-    # Another caller with one statement at a time is hardly disturbed.
+    # One caller sends several times the capacity of the targets. It gets the
+    # available capacity, and all other requests are refused immediately with
+    # a retry delay. Another caller that sends one statement at a time is
+    # barely affected.
     Given an overload fleet whose statements take 20 ms
     When caller flood sends 600 reads a second for 6 seconds
     And caller quiet sends one read after the other meanwhile
--- a/features/planned_work.feature
+++ b/features/planned_work.feature
@@ -1,12 +1,12 @@
-Feature: Operators work while faults come
+Feature: Operators edit and restart during faults
 
-  # Operators shift weights from site to site, so that primaries move, and
-  # restart VMs one by one, while callers work and faults come one upon another.
-  # What the operators were told is what the platform's history has, no VM goes
-  # back to an older table, in the end all have the newest in force; and the
-  # callers' answers are held against what the groups have, as in every soak.
+  # Operators shift weights between sites, which moves primaries, and restart
+  # VMs one after another, during a soak with callers and faults. The verdicts
+  # that operators got match the platform's history, no VM returns to an older
+  # table, and in the end all VMs have the newest table in force. The callers'
+  # answers are compared with the data of the groups, as in every soak.
   Scenario: Edits and restarts beside faults, with seed 2
-    When callers, operators and faults work for 40 s with seed 2
-    Then the soak finds nothing wrong
+    When callers, operators and faults run for 40 s with seed 2
+    Then the soak finds no violations
     And the soak acknowledged at least 500 writes
     And at least 10 edits were accepted
--- a/features/session_soak.feature
+++ b/features/session_soak.feature
@@ -1,9 +1,10 @@
-Feature: Faults upon faults keep the promises of sessions
+Feature: Sessions keep their guarantees under concurrent faults
 
-  # Callers read, write, set, prepare and run transactions at real VMs while
-  # links are cut and silenced, members crash, lag and leave, the store fails
-  # and VMs are killed, paused and stopped, up to three at once. Members check
-  # what runs there and callers' answers are held against the logs.
+  # Callers read, write, set values, prepare and run transactions at real VMs
+  # while links are cut or silent, members crash, lag and drain, the store fails
+  # and VMs are killed, paused and stopped, with up to three faults at a time.
+  # A checker verifies each statement that members execute and compares the
+  # answers to callers with the logs of the members.
   Scenario Outline: A soak of <seconds> s with seed <seed>
     When sessions and faults run for <seconds> s with seed <seed>
     Then the session soak finds nothing wrong
@@ -14,12 +15,14 @@
       | 23   | 12      |
 
     Examples: Seeds that once failed
-      # A fault that outlasts the schedule left a fraction of a second in which
-      # what is served at the end was counted.
+      # Guards against a measurement that is too short: a fault that lasted
+      # longer than the schedule left only a fraction of a second for counting
+      # the operations served at the end.
       | seed | seconds |
       | 200  | 14      |
 
   Scenario: A soak in which the store comes back from older copies
-    # Guards against: what the store has lost is taken for never written.
+    # Guards against a VM that treats data which the store has lost as data
+    # that was never written.
     When sessions, faults and returns of the store run for 14 s with seed 501
     Then the session soak finds nothing wrong
--- a/features/steps/fleet_support.py
+++ b/features/steps/fleet_support.py
@@ -1,4 +1,4 @@
-"""Small things that the steps of several features share."""
+"""Helpers that the steps of several features share."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     rows: dict[str, dict[str, Any]] | None = None,
     **changes: Any,
 ) -> Fleet:
-    """Start a fleet behind links that ends with the scenario."""
-    estate: Topology = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
-    fleet = Fleet(topology=estate, links=True, vms=vms, table_rows=rows)
+    """Start a fleet with links; it is closed at the end of the scenario."""
+    topology: Topology = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
+    fleet = Fleet(topology=topology, links=True, vms=vms, table_rows=rows)
     context.fleet = fleet
     context.add_cleanup(fleet.close)
     fleet.start()
@@ -49,7 +49,7 @@
 
 
 def caller_at(fleet: Fleet, vm: str, **options: Any) -> Caller:
-    """Return a new caller that works through one VM at first."""
+    """Return a new caller that uses the entry of one VM at first."""
     names = list(fleet.vms)
     return Caller(
         entries=fleet.entries(), entry_index=names.index(vm), **options
@@ -57,37 +57,39 @@
 
 
 def in_threads(works: list[Callable[[], Any]]) -> list[Any]:
-    """Run all at the same time and return their results in order."""
+    """Run all functions concurrently and return their results in order."""
     results: list[Any] = [None] * len(works)
-    faults: list[BaseException] = []
+    errors: list[BaseException] = []
     start = threading.Barrier(len(works))
 
-    def run(place: int) -> None:
+    def run(index: int) -> None:
         try:
             start.wait()
-            results[place] = works[place]()
+            results[index] = works[index]()
         except BaseException as exc:
-            faults.append(exc)
+            errors.append(exc)
 
     threads = [
-        threading.Thread(target=run, args=(place,), daemon=True)
-        for place in range(len(works))
+        threading.Thread(target=run, args=(index,), daemon=True)
+        for index in range(len(works))
     ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    if faults:
-        raise faults[0]
+    if errors:
+        raise errors[0]
     return results
 
 
 def set_lag(fleet: Fleet, lag: int) -> None:
-    """Let the replicas catch up, then let them lag."""
+    """Set the apply lag in milliseconds once all replicas have caught up."""
 
-    def level() -> bool:
+    def have_applied_start() -> bool:
         return all(fleet.probe(name)["applied"] for name in fleet.targets)
 
-    wait_until(level, seconds=10, what="replicas to apply the start")
+    wait_until(
+        have_applied_start, seconds=10, what="replicas to apply the start"
+    )
     for name in fleet.targets:
         fleet.set_target(name, apply_lag_ms=lag)
