--- a/features/steps/configuration_properties.py
+++ b/features/steps/configuration_properties.py
@@ -64,7 +64,7 @@
 NAMES = ("vm-a", "vm-b", "vm-c", "vm-d", "vm-e")
 GROUPS = ("g1",)
 SHARDS = (0, 1)
-WATCHERS = 2
+WATCHER_COUNT = 2
 NO_CHECKS = 1e6
 STEPS = 80
 HEAL_SECONDS = 20
@@ -151,7 +151,9 @@
         self._name = name
         self._ids = itertools.count(1)
 
-    def handle(self, which: str, callback: Callable[[Any, Any], None]) -> None:
+    def add_handler(
+        self, which: str, callback: Callable[[Any, Any], None]
+    ) -> None:
         """Call back with messages of a kind."""
         self.handlers[which] = callback
 
@@ -518,7 +520,7 @@
         converged_runs += 1
 
     with (
-        mock.patch.object(rendezvous, "WATCHERS", WATCHERS),
+        mock.patch.object(rendezvous, "PLATFORM_WATCHER_COUNT", WATCHER_COUNT),
         mock.patch.object(platform_watch, "SHORTEST_CHECK", NO_CHECKS),
     ):
         run()
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -302,7 +302,7 @@
         operator = Operator(fleet=context.fleet, vm=vm)
         report = operator.edit_accepted(GROUP, max_staleness_ms=context.turn)
         context.edits.append(max(report["versions"].values()))
-        context.observer.wait_everywhere(
+        context.observer.wait_in_force(
             SHARD, context.edits[-1], names, FORCE_SECONDS
         )
 
@@ -323,7 +323,7 @@
         what="more looks at the versions in force",
     )
     context.observer.stop()
-    assert context.observer.falls == [], context.observer.falls
+    assert context.observer.regressions == [], context.observer.regressions
 
 
 @when("the answers of the platform to one watcher are held back")
@@ -393,7 +393,7 @@
 def then_last_in_force(context: Any, seconds: int) -> None:
     last = context.edits[-1]
     names = list(context.fleet.vms)
-    context.observer.wait_everywhere(SHARD, last, names, seconds)
+    context.observer.wait_in_force(SHARD, last, names, seconds)
     # The observer remembers what was in force before; ask afresh as well.
     for name in names:
         operator = Operator(fleet=context.fleet, vm=name)
