--- a/bamboospring/burn.py
+++ b/bamboospring/burn.py
@@ -1,12 +1,13 @@
-"""Service-level objectives: what was kept, what is left, what burns.
+"""Service-level objectives: error budgets, burn rates and alerts.
 
 Pure functions over samples of the counts that every VM keeps
 (`bamboospring.metrics.GroupCounts`). A burn rate of 1 uses up the error
-budget exactly at the end of the objectives' window; one of 14.4 uses 2 % of a
-30-day budget in one hour.
+budget exactly at the end of the objectives' window; a burn rate of 14.4 uses
+2 % of a 30-day budget in one hour.
 
-Alerts need both a long and a short window: the long one says that it matters,
-the short one that it still goes on.
+Alerts fire only if both a long and a short window exceed the threshold. The
+long window shows that the loss is significant, the short one that it is still
+going on.
 """
 
 from __future__ import annotations
@@ -30,21 +31,21 @@
     "Sample",
     "Tally",
     "VmCounts",
-    "judge",
+    "evaluate_objectives",
     "tally_between",
 ]
 
 HOUR = 3600.0
 DAY = 24 * HOUR
 PERCENT = 100.0
-# 1 - 0.999 is a little less than 0.001 in binary; an objective that is kept
-# exactly must not count as missed for it.
-ROUNDING = 1e-9
+# 1 - 0.999 is slightly less than 0.001 in binary floating point. Without a
+# tolerance an objective that is met exactly would count as missed.
+RATE_TOLERANCE = 1e-9
 
 
 @dataclass(slots=True, kw_only=True)
 class Tally:
-    """What happened to the statements of one group in some time."""
+    """Counts of the statements of one group in a period of time."""
 
     reads: int = 0
     writes: int = 0
@@ -57,17 +58,17 @@
 
     @property
     def done(self) -> int:
-        """Return how many statements were done."""
+        """Return the number of statements that were done."""
         return self.reads + self.writes
 
     @property
     def failed(self) -> int:
-        """Return how many were refused or unknown by no fault of callers."""
+        """Return the number refused or unknown without a caller's error."""
         return sum(self.failures.values())
 
     @property
     def total(self) -> int:
-        """Return how many count for availability."""
+        """Return the number of statements that count for availability."""
         return self.done + self.failed
 
     def add(self, other: Tally) -> None:
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VmCounts:
-    """The counts of one VM, which begin anew when it is restarted."""
+    """The counts of one VM, which are reset when it restarts."""
 
     started_at: float
     groups: Mapping[str, Tally]
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sample:
-    """The counts of all VMs that answered at one time (Unix seconds)."""
+    """The counts of all VMs that answered, at one time (Unix seconds)."""
 
     at: float
     vms: Mapping[str, VmCounts]
@@ -101,24 +102,32 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AlertRule:
-    """Both windows must burn at `rate` or more; lengths in seconds."""
+    """Fires if both windows reach `burn_rate`.
+
+    `long` and `short` are the lengths of the windows in seconds.
+    """
 
     name: str
     long: float
     short: float
-    rate: float
+    burn_rate: float
 
 
 ALERTS = (
-    AlertRule(name="page", long=HOUR, short=HOUR / 12, rate=14.4),
-    AlertRule(name="page", long=6 * HOUR, short=HOUR / 2, rate=6.0),
-    AlertRule(name="ticket", long=3 * DAY, short=6 * HOUR, rate=1.0),
+    AlertRule(name="page", long=HOUR, short=HOUR / 12, burn_rate=14.4),
+    AlertRule(name="page", long=6 * HOUR, short=HOUR / 2, burn_rate=6.0),
+    AlertRule(
+        name="ticket",
+        long=3 * DAY,
+        short=6 * HOUR,
+        burn_rate=1.0,
+    ),
 )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Alert:
-    """A rule that fires for an objective of a group."""
+    """A firing rule for an objective of a group."""
 
     rule: AlertRule
     objective: str
@@ -128,29 +137,29 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Budget:
-    """How an objective stands that allows a share of bad events.
+    """The state of an objective that allows a share of bad events.
 
-    `spent` is the share of the whole window's budget that has been used; the
-    traffic of the rest of the window is taken to be like that of the time
-    that the samples cover.
+    `budget_spent` is the share of the whole window's error budget that has
+    been used. It assumes that traffic in the rest of the window is like that
+    in the time covered by the samples.
     """
 
     target_percent: float
     kept_percent: float
     bad: int
     total: int
-    rate: float
-    spent: float
+    burn_rate: float
+    budget_spent: float
 
     @property
-    def kept(self) -> bool:
-        """Tell whether the objective was met in the time covered."""
-        return self.rate <= 1.0 + ROUNDING
+    def is_met(self) -> bool:
+        """Return whether the objective was met in the time covered."""
+        return self.burn_rate <= 1.0 + RATE_TOLERANCE
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupReport:
-    """All objectives of one group over the time that the samples cover."""
+    """All objectives of one group over the time covered by the samples."""
 
     group: str
     tally: Tally
@@ -162,18 +171,18 @@
 
     @property
     def replica_share_percent(self) -> float | None:
-        """Return the share of reads that replicas served, if any."""
+        """Return the share of reads served by replicas; None without reads."""
         if not self.tally.reads:
             return None
         return PERCENT * self.tally.replica_reads / self.tally.reads
 
     @property
-    def misses(self) -> tuple[str, ...]:
+    def missed_objectives(self) -> tuple[str, ...]:
         """Return the names of the objectives that were not met."""
         share = self.replica_share_percent
         kept = {
-            "availability": self.availability.kept,
-            "latency": self.latency.kept,
+            "availability": self.availability.is_met,
+            "latency": self.latency.is_met,
             "failover_gap": (
                 self.tally.longest_gap_ms <= self.objective.failover_gap_ms
             ),
@@ -184,116 +193,125 @@
         return tuple(name for name, good in kept.items() if not good)
 
 
-def judge(
+def evaluate_objectives(
     samples: Sequence[Sample], objectives: Objectives, *, scale: float = 1.0
 ) -> list[GroupReport]:
-    """Return a report for each group that the samples mention.
+    """Return a report for each group in the samples.
 
     The windows of the alerts are multiplied by `scale`. A rule whose short
-    window is longer than what the samples cover says nothing.
+    window is longer than the time covered by the samples does not fire.
     """
     if len(samples) < 2:
         return []
-    whole = tally_between(samples, samples[0].at, samples[-1].at)
-    covered = samples[-1].at - samples[0].at
+    total = tally_between(samples, samples[0].at, samples[-1].at)
+    covered_seconds = samples[-1].at - samples[0].at
     return [
-        _judge_group(group, tally, samples, covered, objectives, scale)
-        for group, tally in sorted(whole.items())
+        _evaluate_group(
+            group, tally, samples, covered_seconds, objectives, scale
+        )
+        for group, tally in sorted(total.items())
         if tally.total or tally.gaps
     ]
 
 
 def tally_between(
-    samples: Sequence[Sample], begin: float, end: float
+    samples: Sequence[Sample], start: float, end: float
 ) -> dict[str, Tally]:
-    """Return what happened from `begin` to `end`, by group.
+    """Return the counts from `start` to `end`, by group.
 
-    Steps from one sample to the next count if they end within the time. A VM
-    that was restarted begins at zero, so that all its counts are new; what it
-    counted between the last sample and its end is not known to anybody.
+    An interval between two samples counts if it ends within this time. The
+    counts of a restarted VM start at zero, so that all of them are new. What
+    it counted between its last sample and its end is lost.
     """
-    found: dict[str, Tally] = {}
-    last: dict[str, VmCounts] = {}
+    tallies: dict[str, Tally] = {}
+    latest: dict[str, VmCounts] = {}
     for sample in samples:
-        inside = begin < sample.at <= end
+        in_window = start < sample.at <= end
         for vm, counts in sample.vms.items():
-            before = last.get(vm)
-            last[vm] = counts
-            if inside and (before is not None or sample is not samples[0]):
-                _add_growth(found, before, counts)
-    return found
+            before = latest.get(vm)
+            latest[vm] = counts
+            if in_window and (before is not None or sample is not samples[0]):
+                _add_difference(tallies, before, counts)
+    return tallies
 
 
-def _add_growth(
-    found: dict[str, Tally], before: VmCounts | None, now: VmCounts
+def _add_difference(
+    tallies: dict[str, Tally], before: VmCounts | None, after: VmCounts
 ) -> None:
-    if before is not None and before.started_at != now.started_at:
+    if before is not None and before.started_at != after.started_at:
         before = None
-    for group, tally in now.groups.items():
+    for group, tally in after.groups.items():
         old = before.groups.get(group) if before is not None else None
-        found.setdefault(group, Tally()).add(_growth(old or Tally(), tally))
+        tallies.setdefault(group, Tally()).add(
+            _difference(old or Tally(), tally)
+        )
 
 
-def _growth(old: Tally, new: Tally) -> Tally:
-    # The longest gap of a process is known only as a maximum over its life:
-    # it belongs to this step if it grew in it.
-    grew = new.longest_gap_ms > old.longest_gap_ms
+def _difference(before: Tally, after: Tally) -> Tally:
+    # The longest gap is known only as a maximum since the start of a process.
+    # It belongs to this interval if it grew in it.
+    grew = after.longest_gap_ms > before.longest_gap_ms
     return Tally(
-        reads=new.reads - old.reads,
-        writes=new.writes - old.writes,
-        replica_reads=new.replica_reads - old.replica_reads,
-        slow=new.slow - old.slow,
-        gaps=new.gaps - old.gaps,
-        gap_ms=new.gap_ms - old.gap_ms,
-        longest_gap_ms=new.longest_gap_ms if grew else 0,
+        reads=after.reads - before.reads,
+        writes=after.writes - before.writes,
+        replica_reads=after.replica_reads - before.replica_reads,
+        slow=after.slow - before.slow,
+        gaps=after.gaps - before.gaps,
+        gap_ms=after.gap_ms - before.gap_ms,
+        longest_gap_ms=after.longest_gap_ms if grew else 0,
         failures={
-            cause: number - old.failures.get(cause, 0)
-            for cause, number in new.failures.items()
-            if number > old.failures.get(cause, 0)
+            cause: number - before.failures.get(cause, 0)
+            for cause, number in after.failures.items()
+            if number > before.failures.get(cause, 0)
         },
     )
 
 
-def _judge_group(
+def _evaluate_group(
     group: str,
     tally: Tally,
     samples: Sequence[Sample],
-    covered: float,
+    covered_seconds: float,
     objectives: Objectives,
     scale: float,
 ) -> GroupReport:
     objective = objectives.groups.get(group, objectives.default)
-    share = covered / (objectives.window_days * DAY)
+    window_share = covered_seconds / (objectives.window_days * DAY)
     causes = sorted(tally.failures.items(), key=lambda each: -each[1])
     return GroupReport(
         group=group,
         tally=tally,
         objective=objective,
         availability=_budget(
-            tally.failed, tally.total, objective.availability_percent, share
+            tally.failed,
+            tally.total,
+            objective.availability_percent,
+            window_share,
         ),
         latency=_budget(
-            tally.slow, tally.done, objective.latency_percent, share
+            tally.slow, tally.done, objective.latency_percent, window_share
         ),
         alerts=tuple(_alerts(group, samples, objective, scale)),
         causes=tuple(causes),
     )
 
 
-def _budget(bad: int, total: int, target: float, share: float) -> Budget:
-    rate = _rate(bad, total, target)
-    kept = PERCENT if total == 0 else PERCENT * (total - bad) / total
+def _budget(
+    bad: int, total: int, target: float, window_share: float
+) -> Budget:
+    rate = _burn_rate(bad, total, target)
+    kept_percent = PERCENT if total == 0 else PERCENT * (total - bad) / total
     return Budget(
         target_percent=target,
-        kept_percent=kept,
+        kept_percent=kept_percent,
         bad=bad,
         total=total,
-        rate=rate,
-        spent=rate * share,
+        burn_rate=rate,
+        budget_spent=rate * window_share,
     )
 
 
-def _rate(bad: int, total: int, target: float) -> float:
+def _burn_rate(bad: int, total: int, target: float) -> float:
     if total == 0:
         return 0.0
     return (bad / total) / (1 - target / PERCENT)
@@ -303,20 +321,24 @@
     group: str, samples: Sequence[Sample], objective: Objective, scale: float
 ) -> Iterable[Alert]:
     end = samples[-1].at
-    covered = end - samples[0].at
+    covered_seconds = end - samples[0].at
     for each in ALERTS:
-        rule = replace(each, long=each.long * scale, short=each.short * scale)
-        if rule.short > covered:
+        rule = replace(
+            each,
+            long=each.long * scale,
+            short=each.short * scale,
+        )
+        if rule.short > covered_seconds:
             continue
         long = tally_between(samples, end - rule.long, end)
         short = tally_between(samples, end - rule.short, end)
         rates = zip(
-            _rates(long.get(group, Tally()), objective),
-            _rates(short.get(group, Tally()), objective),
+            _burn_rates(long.get(group, Tally()), objective),
+            _burn_rates(short.get(group, Tally()), objective),
             strict=True,
         )
         for (name, long_rate), (_, short_rate) in rates:
-            if min(long_rate, short_rate) >= rule.rate:
+            if min(long_rate, short_rate) >= rule.burn_rate:
                 yield Alert(
                     rule=rule,
                     objective=name,
@@ -325,14 +347,16 @@
                 )
 
 
-def _rates(tally: Tally, objective: Objective) -> list[tuple[str, float]]:
+def _burn_rates(tally: Tally, objective: Objective) -> list[tuple[str, float]]:
     return [
         (
             "availability",
-            _rate(tally.failed, tally.total, objective.availability_percent),
+            _burn_rate(
+                tally.failed, tally.total, objective.availability_percent
+            ),
         ),
         (
             "latency",
-            _rate(tally.slow, tally.done, objective.latency_percent),
+            _burn_rate(tally.slow, tally.done, objective.latency_percent),
         ),
     ]
--- a/bamboospring/explain.py
+++ b/bamboospring/explain.py
@@ -1,12 +1,12 @@
-"""Tell from the logs of several VMs what became of a request, and why.
+"""Explain the outcome of a request from the logs of several VMs.
 
     bamboospring explain ID vm-*.log
     bamboospring explain --group NAME vm-*.log
     bamboospring explain --catalog VERSION vm-*.log
 
-Clocks of VMs differ, so what happened is put in order by causes where the
-lines give them: a group's events by the version of its record, and only those
-of one VM by its own time.
+Clocks of VMs differ, so times order only the events of one VM. Events of a
+group on several VMs are ordered by the version of its record, where the lines
+contain it.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 __all__ = [
     "Event",
-    "cause_of",
+    "describe_cause",
     "read_events",
     "story_of_catalog",
     "story_of_group",
     "story_of_request",
 ]
 
-_PAIR = re.compile(r'([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
-# What a VM believed of a group is told as far back as this many of its lines.
-MOST_BEFORE = 6
+_FIELD_PATTERN = re.compile(r'([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
+# How many earlier events show a VM's knowledge of a group before an event.
+MAX_PRECEDING_EVENTS = 6
 GROUP_EVENTS = frozenset(
     {
         "record",
@@ -60,16 +60,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Event:
-    """One log line: its name, its VM, its fields and its place."""
+    """A parsed log line; `line_index` is its position in the input."""
 
     name: str
     vm: str
     time: str
-    place: int
+    line_index: int
     fields: dict[str, str]
 
-    def text(self) -> str:
-        """Return the line without what every line has."""
+    def format_line(self) -> str:
+        """Return the event as text, without the fields of every line."""
         pairs = " ".join(
             f"{key}={value}"
             for key, value in self.fields.items()
@@ -79,14 +79,15 @@
 
 
 def read_events(lines: Iterable[str]) -> list[Event]:
-    """Read log lines; others, as of a crash, are left out."""
+    """Parse log lines; skip other lines, such as those of a traceback."""
     events = []
-    for place, line in enumerate(lines):
+    for line_index, line in enumerate(lines):
         start = line.find("time=")
         if start < 0:
             continue
         fields = {
-            key: _unquoted(value) for key, value in _PAIR.findall(line[start:])
+            key: _unquote(value)
+            for key, value in _FIELD_PATTERN.findall(line[start:])
         }
         if "event" in fields:
             events.append(
@@ -94,14 +95,14 @@
                     name=fields["event"],
                     vm=fields.get("vm", ""),
                     time=fields.get("time", ""),
-                    place=place,
+                    line_index=line_index,
                     fields=fields,
                 )
             )
     return events
 
 
-def _unquoted(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
@@ -111,51 +112,54 @@
 
 
 def story_of_request(events: Sequence[Event], trace: str) -> list[str]:
-    """Return the story of a request, cause last."""
-    own = [e for e in events if e.fields.get("trace") == trace]
-    if not own:
-        left_out = sum(
+    """Return the events of a request and their causes as lines of text."""
+    matching = [e for e in events if e.fields.get("trace") == trace]
+    if not matching:
+        dropped = sum(
             int(e.fields.get("lines", "0"))
             for e in events
             if e.name == "left_out"
         )
         return [
             f"No line names {trace}.",
-            "Either none of these VMs had it, or it went well and its line "
-            f"was left out ({left_out} lines were); what fails is not left "
-            "out below 100 lines a second.",
+            "Either none of these VMs had it, or it succeeded and its line "
+            f"was left out ({dropped} lines were); failures are not left "
+            "out below 100 lines per second.",
         ]
     lines = []
-    for event in own:
-        lines.append(event.text())
-        lines.extend(f"  before: {e.text()}" for e in _before(events, event))
-        lines.append(f"  cause: {cause_of(event)}")
+    for event in matching:
+        lines.append(event.format_line())
+        lines.extend(
+            f"  before: {e.format_line()}"
+            for e in _preceding_events(events, event)
+        )
+        lines.append(f"  cause: {describe_cause(event)}")
         group = event.fields.get("group", "")
-        if _is_of_change(event):
+        if _may_be_caused_by_change(event):
             lines.extend(
                 f"  change: {text}"
-                for text in _change_around(events, event, group)
+                for text in _nearest_change(events, event, group)
             )
     return lines
 
 
-def _before(events: Sequence[Event], event: Event) -> list[Event]:
-    """Return what its VM had last learnt of the group and the platform."""
+def _preceding_events(events: Sequence[Event], event: Event) -> list[Event]:
+    """Return the VM's latest events on the group and the platform."""
     group = event.fields.get("group")
     found = [
         e
         for e in events
         if e.vm == event.vm
-        and e.place < event.place
+        and e.line_index < event.line_index
         and (
             (e.name in GROUP_EVENTS and e.fields.get("group") == group)
             or e.name in VM_EVENTS
         )
     ]
-    return found[-MOST_BEFORE:]
+    return found[-MAX_PRECEDING_EVENTS:]
 
 
-def _is_of_change(event: Event) -> bool:
+def _may_be_caused_by_change(event: Event) -> bool:
     reason = event.fields.get("reason", "")
     return reason in (
         "no_primary",
@@ -168,10 +172,10 @@
     )
 
 
-def _change_around(
+def _nearest_change(
     events: Sequence[Event], event: Event, group: str
 ) -> list[str]:
-    """Return the change of primary nearest to an event, by time."""
+    """Return the change of primary that is closest to an event in time."""
     of_group = [
         e
         for e in events
@@ -185,43 +189,43 @@
         e for e in of_group if e.name == "change_begun" and e.time <= until
     ]
     since = max((e.time for e in begun), default="~")
-    return [e.text() for e in of_group if since <= e.time <= until]
+    return [e.format_line() for e in of_group if since <= e.time <= until]
 
 
-_CAUSES = {
-    "no_primary": "a change of primary was under way, or none is agreed",
-    "primary_changed": "the proof of the primary had lapsed, or the target "
-    "said that it leads no more",
-    "target_unreachable": "no connection to the target could be had",
-    "answer_lost": "the connection ended after the statement was sent",
-    "deadline": "the target did not answer within the route's time",
+_CAUSE_TEXTS = {
+    "no_primary": "a change of primary was under way, or no primary is agreed",
+    "primary_changed": "the proof of the primary had expired, or the target "
+    "reported that it is no longer the primary",
+    "target_unreachable": "no connection to the target could be opened",
+    "answer_lost": "the connection was lost after the statement was sent",
+    "deadline": "the target did not answer within the route's deadline",
     "transaction_lost": "the transaction's connection or target was lost",
-    "transaction_idle": "the caller rested inside the transaction",
-    "stale": "no target reached had what the read must see",
+    "transaction_idle": "the caller was idle in the transaction for too long",
+    "stale": "no reachable target was as recent as the read requires",
     "target_leaving": "the primary was leaving and not yet replaced",
-    "queue_full": "it would not have got a connection in time",
-    "caller_limit": "its caller had too much waiting already",
+    "queue_full": "it would not have got a connection before its deadline",
+    "caller_limit": "its caller had too many statements in the queue",
     "target_slots": "the target's own queue was full",
-    "target_connections": "the target allowed no connection more",
+    "target_connections": "the target had reached its limit of connections",
     "unknown_group": "no route in force has this database",
-    "draining": "the VM was told to stop",
-    "starting": "the VM had just started and knew too little",
-    "caller_gone": "its caller had left",
-    "sql": "the target said that it failed",
-    "bad_request": "it could not be understood",
-    "no_statement": "no statement of this name was prepared",
+    "draining": "the VM was shutting down",
+    "starting": "the VM had just started and lacked the fleet's state",
+    "caller_gone": "its caller had disconnected",
+    "sql": "the target reported that it failed",
+    "bad_request": "it was malformed",
+    "no_statement": "no prepared statement has this name",
 }
 
 
-def cause_of(event: Event) -> str:
-    """Return in words why a statement ended as it did."""
+def describe_cause(event: Event) -> str:
+    """Return the cause of a statement's outcome as a sentence."""
     fields = event.fields
     outcome = fields.get("outcome", "")
     if outcome == "served":
         took, waited = fields.get("took_ms"), fields.get("waited_ms")
-        return f"served in {took} ms, {waited} of them before it was sent"
+        return f"served in {took} ms, of which {waited} ms before it was sent"
     reason = fields.get("reason", "")
-    text = _CAUSES.get(reason, reason)
+    text = _CAUSE_TEXTS.get(reason, reason)
     waited_for = fields.get("waited_for", "")
     if waited_for:
         text += f" while it waited for {waited_for}"
@@ -232,7 +236,7 @@
 
 
 def story_of_group(events: Sequence[Event], group: str) -> list[str]:
-    """Return all changes of a group's primary, ordered by its record."""
+    """Return all changes of a group's primary and its records."""
     of_group = [
         e
         for e in events
@@ -241,17 +245,17 @@
     ]
     seen: set[tuple[str, str]] = set()
     lines = []
-    for event in sorted(of_group, key=_order_of):
+    for event in sorted(of_group, key=_sort_key):
         key = (event.name, event.fields.get("version", event.time))
         if event.name == "record" and key in seen:
             continue
         seen.add(key)
-        lines.append(event.text())
+        lines.append(event.format_line())
     return lines or [f"No line names the group {group}."]
 
 
-def _order_of(event: Event) -> tuple[str, int]:
-    return event.time, event.place
+def _sort_key(event: Event) -> tuple[str, int]:
+    return event.time, event.line_index
 
 
 def story_of_catalog(events: Sequence[Event], version: str) -> list[str]:
@@ -263,4 +267,4 @@
     ]
     if not found:
         return [f"No line names version {version}."]
-    return [e.text() for e in sorted(found, key=_order_of)]
+    return [e.format_line() for e in sorted(found, key=_sort_key)]
--- a/bamboospring/explain_command.py
+++ b/bamboospring/explain_command.py
@@ -16,7 +16,7 @@
 
 
 def add_to(root: typer.Typer) -> None:
-    """Add the commands to the program's."""
+    """Add the commands of this module to the command line."""
     root.command()(explain)
     root.command()(losses)
     root.command(name="serve-sessions")(serve_sessions)
@@ -29,30 +29,30 @@
         typer.Argument(help="Logs of VMs; none: standard input."),
     ] = None,
     group: Annotated[
-        bool, typer.Option("--group", help="Tell a group's changes.")
+        bool, typer.Option("--group", help="Show a group's changes.")
     ] = False,
     catalog: Annotated[
         bool,
-        typer.Option("--catalog", help="Tell when a version took force."),
+        typer.Option("--catalog", help="Show when a version came into force."),
     ] = False,
 ) -> None:
-    """Tell from the logs of VMs what became of a request, and why.
+    """Explain the outcome of a request from the logs of VMs.
 
-    With `--group` the changes of a group's primary, with `--catalog` the VMs
-    that put a version of the configuration in force. Ends with 1 if no line
-    names it.
+    With `--group`, show the changes of a group's primary; with `--catalog`,
+    the VMs that put a version of the configuration in force. Exits with 1 if
+    no line names it.
     """
     tool = import_module("bamboospring.explain")
-    events = _events(files)
+    events = _read_events(files)
     if group:
-        story = tool.story_of_group(events, what)
+        report = tool.story_of_group(events, what)
     elif catalog:
-        story = tool.story_of_catalog(events, what)
+        report = tool.story_of_catalog(events, what)
     else:
-        story = tool.story_of_request(events, what)
-    typer.echo("\n".join(story))
-    known = not story[0].startswith("No line names")
-    raise typer.Exit(cli.ExitCode.DONE if known else cli.ExitCode.NO)
+        report = tool.story_of_request(events, what)
+    typer.echo("\n".join(report))
+    found = not report[0].startswith("No line names")
+    raise typer.Exit(cli.ExitCode.DONE if found else cli.ExitCode.NO)
 
 
 def losses(
@@ -61,24 +61,25 @@
         typer.Argument(help="Logs of VMs; none: standard input."),
     ] = None,
     since: Annotated[
-        str, typer.Option(help="First time, as it stands in the logs.")
+        str, typer.Option(help="Start time, in the format of the logs.")
     ] = "",
     until: Annotated[
-        str, typer.Option(help="Last time, as it stands in the logs.")
+        str, typer.Option(help="End time, in the format of the logs.")
     ] = "~",
 ) -> None:
-    """Count from the logs of VMs what callers lost, and why.
+    """Count failed statements and their reasons in the logs of VMs.
 
-    A row for each group, kind of statement and reason, the most frequent
-    first, with the first and last second. Ends with 1 if nothing was lost.
+    Prints a row for each group, kind of statement and reason, the most
+    frequent first, with the first and last second. Exits with 1 if no
+    statement failed.
     """
     tool = import_module("bamboospring.losses")
-    found = tool.count_losses(_events(files), since=since, until=until)
-    typer.echo("\n".join(tool.losses_text(found)))
-    raise typer.Exit(cli.ExitCode.DONE if found else cli.ExitCode.NO)
+    counted = tool.count_losses(_read_events(files), since=since, until=until)
+    typer.echo("\n".join(tool.format_losses(counted)))
+    raise typer.Exit(cli.ExitCode.DONE if counted else cli.ExitCode.NO)
 
 
-def _events(files: list[Path] | None) -> Any:
+def _read_events(files: list[Path] | None) -> Any:
     """Return the events in log files, or in standard input."""
     try:
         texts = [path.read_text(errors="replace") for path in files or ()]
--- a/bamboospring/fleet_commands.py
+++ b/bamboospring/fleet_commands.py
@@ -16,10 +16,10 @@
 
 from bamboospring.cli import ExitCode
 from bamboospring.errors import BamboospringError
-from bamboospring.fleet_report import Fleet
-from bamboospring.fleet_report import GroupLine
+from bamboospring.fleet_report import FleetSummary
+from bamboospring.fleet_report import GroupSummary
 from bamboospring.fleet_report import summarise
-from bamboospring.fleet_report import VmLine
+from bamboospring.fleet_report import VmSummary
 from bamboospring.operator_client import OperatorClient
 from bamboospring.operator_client import Unreachable
 from bamboospring.settings import Objectives
@@ -46,15 +46,15 @@
 ) -> None:
     """Show the fleet: primaries, limits in use, lag, leases, versions.
 
-    Ends with 0 if nothing needs attention, with 1 if something does.
+    Exits with 0 if nothing needs attention, with 1 if something does.
     """
-    found = _call(vm, token, authority, "GET", "/fleet.json")
-    fleet = summarise(found)
+    data = _call_vm(vm, token, authority, "GET", "/fleet.json")
+    fleet = summarise(data)
     if as_json:
-        typer.echo(json.dumps(found, indent=2))
+        typer.echo(json.dumps(data, indent=2))
     else:
-        typer.echo(_fleet_text(fleet))
-    raise typer.Exit(ExitCode.DONE if fleet.good else ExitCode.NO)
+        typer.echo(_format_fleet(fleet))
+    raise typer.Exit(ExitCode.DONE if fleet.is_healthy else ExitCode.NO)
 
 
 def primary(
@@ -66,12 +66,12 @@
     ] = "",
     authority: Authority = "",
 ) -> None:
-    """Hand a group's primary over, for example before a repair.
+    """Change a group's primary, for example before maintenance.
 
-    The order goes to whoever leads the group; `status` shows what came of it.
+    The order is sent to the steward of the group; `status` shows the result.
     """
     path = f"/groups/{quote(group, safe='')}/primary"
-    _call(vm, token, authority, "POST", path, {"target": target})
+    _call_vm(vm, token, authority, "POST", path, {"target": target})
     typer.echo("ordered")
 
 
@@ -88,23 +88,23 @@
     authority: Authority = "",
 ) -> None:
     """Record what callers get, for `bamboospring report`."""
-    from bamboospring.report import line_of
+    from bamboospring.report import format_sample
 
     end = time.monotonic() + seconds
     try:
         file = out.open("a", encoding="utf-8")
     except OSError as exc:
-        _fail(f"{out} cannot be written: {exc}", ExitCode.MISUSED)
+        _exit_with_error(f"{out} cannot be written: {exc}", ExitCode.MISUSED)
     with file:
         while True:
-            found = _call(vm, token, authority, "GET", "/fleet.json")
-            file.write(line_of(found, time.time()))
+            data = _call_vm(vm, token, authority, "GET", "/fleet.json")
+            file.write(format_sample(data, time.time()))
             file.flush()
-            left = end - time.monotonic()
-            if left <= 0:
+            remaining = end - time.monotonic()
+            if remaining <= 0:
                 return
-            typer.echo(f"\r{left:.0f} s left  ", nl=False, err=True)
-            time.sleep(min(every, left))
+            typer.echo(f"\r{remaining:.0f} s left  ", nl=False, err=True)
+            time.sleep(min(every, remaining))
 
 
 def report(
@@ -118,37 +118,44 @@
     scale: Annotated[
         float,
         typer.Option(
-            help="Multiply the alerts' windows, to try them on a short series."
+            help="Factor for the alerts' windows, to test with a short series."
         ),
     ] = 1.0,
     as_json: Json = False,
 ) -> None:
-    """Show how the service-level objectives stand and what burns them.
+    """Show service-level objectives, error budgets and causes of failure.
 
-    Ends with 0 if all are met, with 1 if one is missed.
+    Exits with 0 if all objectives are met, with 1 if one is missed.
     """
     from bamboospring import burn
     from bamboospring import report as reports
 
     try:
-        objectives = _objectives(settings)
+        objectives = _load_objectives(settings)
         samples = reports.read_series(series)
     except BamboospringError as exc:
-        _fail(str(exc), ExitCode.MISUSED)
-    found = burn.judge(samples, objectives, scale=scale)
+        _exit_with_error(str(exc), ExitCode.MISUSED)
+    reports_by_group = burn.evaluate_objectives(
+        samples, objectives, scale=scale
+    )
     if html is not None:
         from bamboospring import report_html
 
-        html.write_text(report_html.page(samples, found), encoding="utf-8")
+        html.write_text(
+            report_html.render_page(samples, reports_by_group),
+            encoding="utf-8",
+        )
     if as_json:
-        typer.echo(json.dumps(reports.as_json(samples, found), indent=2))
+        typer.echo(
+            json.dumps(reports.as_json(samples, reports_by_group), indent=2)
+        )
     else:
-        typer.echo(reports.as_text(samples, found))
-    missed = any(each.misses for each in found)
+        typer.echo(reports.as_text(samples, reports_by_group))
+    missed = any(each.missed_objectives for each in reports_by_group)
     raise typer.Exit(ExitCode.NO if missed else ExitCode.DONE)
 
 
-def _objectives(path: Path | None) -> Objectives:
+def _load_objectives(path: Path | None) -> Objectives:
     if path is None:
         return Objectives()
     from bamboospring import settings
@@ -156,7 +163,7 @@
     return settings.load(path).objectives
 
 
-def _call(
+def _call_vm(
     vms: Sequence[str],
     token: str,
     authority: str,
@@ -171,19 +178,21 @@
     try:
         answer = client.call(method, path, body)
     except Unreachable as exc:
-        _fail(str(exc), ExitCode.UNREACHABLE)
+        _exit_with_error(str(exc), ExitCode.UNREACHABLE)
     if answer.status >= 400:
         text = (answer.body or {}).get("error", "")
-        _fail(f"{answer.vm}: {answer.status} {text}", ExitCode.MISUSED)
+        _exit_with_error(
+            f"{answer.vm}: {answer.status} {text}", ExitCode.MISUSED
+        )
     return answer.body
 
 
-def _fail(message: str, code: ExitCode) -> NoReturn:
+def _exit_with_error(message: str, code: ExitCode) -> NoReturn:
     typer.echo(f"bamboospring: {message}", err=True)
     raise typer.Exit(code)
 
 
-def _fleet_text(fleet: Fleet) -> str:
+def _format_fleet(fleet: FleetSummary) -> str:
     groups: list[tuple[str, ...]] = [
         (
             "GROUP",
@@ -206,15 +215,15 @@
     )
     return "\n\n".join(
         (
-            _columns(groups),
-            _columns(vms),
-            "SLOTS and CONNS: in use / shared out to holders / limit",
+            _align_columns(groups),
+            _align_columns(vms),
+            "SLOTS and CONNS: in use / shares of holders / limit",
             f"newest version of the table's shards: {versions or 'none'}",
         )
     )
 
 
-def _group_cells(line: GroupLine) -> tuple[str, ...]:
+def _group_cells(line: GroupSummary) -> tuple[str, ...]:
     lags = [
         f"{target['name'].removeprefix(line.group + '-')} {target['lag_ms']}"
         for target in line.targets
@@ -232,10 +241,10 @@
     )
 
 
-def _vm_cells(line: VmLine) -> tuple[str, ...]:
+def _vm_cells(line: VmSummary) -> tuple[str, ...]:
     table = "in force"
-    if line.behind:
-        table = f"behind: {', '.join(line.behind)}"
+    if line.outdated_shards:
+        table = f"behind: {', '.join(line.outdated_shards)}"
     return (
         line.vm,
         line.availability_zone,
@@ -248,7 +257,7 @@
     )
 
 
-def _columns(rows: Iterable[tuple[str, ...]]) -> str:
+def _align_columns(rows: Iterable[tuple[str, ...]]) -> str:
     lines = list(rows)
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return "\n".join(
--- a/bamboospring/fleet_report.py
+++ b/bamboospring/fleet_report.py
@@ -1,7 +1,7 @@
-"""Bring the statuses of many VMs together into what an operator asks.
+"""Summarize the statuses of all VMs for operators.
 
-Pure functions on the data of `/fleet.json`: which groups have a primary, who
-leads, how far replicas are behind, and which VMs lack the newest table.
+Pure functions on the data of `/fleet.json`: which groups have a primary and a
+steward, how far replicas lag behind, and which VMs lack the newest table.
 """
 
 from __future__ import annotations
@@ -11,33 +11,42 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["Fleet", "GroupLine", "Use", "VmLine", "summarise"]
+__all__ = [
+    "FleetSummary",
+    "GroupSummary",
+    "LimitUsage",
+    "VmSummary",
+    "summarise",
+]
 
-# Holders hear each target at least once a second while it answers.
-SILENT_MS = 5_000
+# Holders get an answer from each live target at least once a second.
+UNRESPONSIVE_MS = 5_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class VmLine:
-    """One VM as operators see it; `behind` names shards not in force."""
+class VmSummary:
+    """Summary of a VM.
+
+    `outdated_shards` names the shards whose newest version is not in force.
+    """
 
     vm: str
     availability_zone: str
     state: str
     version: str = ""
     uptime_s: int = 0
-    behind: tuple[str, ...] = ()
+    outdated_shards: tuple[str, ...] = ()
     leases: tuple[int, ...] = ()
     groups: int = 0
     memory_bytes: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Use:
-    """How much of a limit all holders use, summed over a group's targets.
+class LimitUsage:
+    """Usage of a limit by all holders, summed over a group's targets.
 
-    `shared` is what the holders may use together. It is below the limit for a
-    while when holders change, and never above it.
+    `shared` is the sum of the holders' shares. It is temporarily below the
+    limit while holders change, and must never exceed it.
     """
 
     used: int
@@ -49,8 +58,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GroupLine:
-    """One group as its holders see it."""
+class GroupSummary:
+    """Summary of a group, from the statuses of its holders."""
 
     group: str
     term: int
@@ -58,49 +67,50 @@
     steward: str
     holders: tuple[str, ...]
     targets: tuple[Mapping[str, Any], ...]
-    slots: Use
-    connections: Use
+    slots: LimitUsage
+    connections: LimitUsage
     waiting: int
     problems: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Fleet:
-    """The whole: VMs, groups, and the newest version of each shard."""
+class FleetSummary:
+    """Summary of the fleet: VMs, groups, newest version of each shard."""
 
-    vms: tuple[VmLine, ...]
-    groups: tuple[GroupLine, ...]
+    vms: tuple[VmSummary, ...]
+    groups: tuple[GroupSummary, ...]
     shards: dict[str, int]
 
     @property
-    def good(self) -> bool:
-        """Tell whether nothing here needs an operator."""
+    def is_healthy(self) -> bool:
+        """Return whether nothing needs an operator's attention."""
         return all(not each.problems for each in self.groups) and all(
-            each.state == "ready" and not each.behind for each in self.vms
+            each.state == "ready" and not each.outdated_shards
+            for each in self.vms
         )
 
 
-def summarise(found: Mapping[str, Any]) -> Fleet:
-    """Return the fleet from the data of `/fleet.json`."""
-    statuses: Sequence[Mapping[str, Any]] = found["vms"]
+def summarise(data: Mapping[str, Any]) -> FleetSummary:
+    """Return the summary of the data of `/fleet.json`."""
+    statuses: Sequence[Mapping[str, Any]] = data["vms"]
     newest = _newest_shards(statuses)
     stewards = {
         lease["bucket"]: status["vm"]
         for status in statuses
         for lease in status["leases"]
     }
-    lines = [_vm_line(status, newest) for status in statuses]
-    lines += [
-        VmLine(
+    vms = [_vm_summary(status, newest) for status in statuses]
+    vms += [
+        VmSummary(
             vm=each["vm"],
             availability_zone=each["availability_zone"],
             state="silent",
         )
-        for each in found["silent"]
+        for each in data["silent"]
     ]
-    return Fleet(
-        vms=tuple(sorted(lines, key=lambda line: line.vm)),
-        groups=_group_lines(statuses, stewards),
+    return FleetSummary(
+        vms=tuple(sorted(vms, key=lambda line: line.vm)),
+        groups=_group_summaries(statuses, stewards),
         shards=newest,
     )
 
@@ -113,90 +123,94 @@
     return newest
 
 
-def _vm_line(status: Mapping[str, Any], newest: Mapping[str, int]) -> VmLine:
-    behind = tuple(
+def _vm_summary(
+    status: Mapping[str, Any], newest: Mapping[str, int]
+) -> VmSummary:
+    outdated = tuple(
         shard
         for shard, version in newest.items()
         if status["shards"].get(shard, 0) < version
     )
     state = "ready" if status["ready"] else "not ready"
-    return VmLine(
+    return VmSummary(
         vm=status["vm"],
         availability_zone=status["availability_zone"],
         state="draining" if status["draining"] else state,
         version=status["version"],
         uptime_s=round(status["at"] - status["started_at"]),
-        behind=behind,
+        outdated_shards=outdated,
         leases=tuple(lease["bucket"] for lease in status["leases"]),
         groups=len(status["groups"]),
         memory_bytes=status["process"]["memory_bytes"],
     )
 
 
-def _group_lines(
+def _group_summaries(
     statuses: Sequence[Mapping[str, Any]], stewards: Mapping[int, str]
-) -> tuple[GroupLine, ...]:
-    seen: dict[str, list[Mapping[str, Any]]] = {}
+) -> tuple[GroupSummary, ...]:
+    views_by_group: dict[str, list[Mapping[str, Any]]] = {}
     for status in statuses:
         for name, group in status["groups"].items():
-            seen.setdefault(name, []).append(group)
+            views_by_group.setdefault(name, []).append(group)
     return tuple(
-        _group_line(name, views, stewards)
-        for name, views in sorted(seen.items())
+        _group_summary(name, views, stewards)
+        for name, views in sorted(views_by_group.items())
     )
 
 
-def _group_line(
+def _group_summary(
     name: str, views: Sequence[Mapping[str, Any]], stewards: Mapping[int, str]
-) -> GroupLine:
-    # Of several holders the one with the highest version is the newest.
-    view = max(views, key=lambda each: each["version"])
-    steward = stewards.get(view["bucket"], "")
-    return GroupLine(
+) -> GroupSummary:
+    # Uses the holder with the highest record version, which is the newest.
+    newest_view = max(views, key=lambda each: each["version"])
+    steward = stewards.get(newest_view["bucket"], "")
+    return GroupSummary(
         group=name,
-        term=view["term"],
-        primary=view["primary"],
+        term=newest_view["term"],
+        primary=newest_view["primary"],
         steward=steward,
-        holders=tuple(view["holders"]),
-        targets=tuple(view["targets"]),
-        slots=_use(views, "slots"),
-        connections=_use(views, "connections"),
+        holders=tuple(newest_view["holders"]),
+        targets=tuple(newest_view["targets"]),
+        slots=_limit_usage(views, "slots"),
+        connections=_limit_usage(views, "connections"),
         waiting=sum(
             target["here"]["waiting"]
             for each in views
             for target in each["targets"]
         ),
-        problems=tuple(_problems(view, views, steward)),
+        problems=tuple(_group_problems(newest_view, views, steward)),
     )
 
 
-def _use(views: Sequence[Mapping[str, Any]], name: str) -> Use:
+def _limit_usage(views: Sequence[Mapping[str, Any]], name: str) -> LimitUsage:
     parts = [target["here"] for each in views for target in each["targets"]]
-    return Use(
+    return LimitUsage(
         used=sum(part[name] for part in parts),
         shared=sum(part[f"{name}_share"] for part in parts),
         limit=sum(target[name] for target in views[0]["targets"]),
     )
 
 
-def _problems(
-    view: Mapping[str, Any], views: Sequence[Mapping[str, Any]], steward: str
+def _group_problems(
+    newest_view: Mapping[str, Any],
+    views: Sequence[Mapping[str, Any]],
+    steward: str,
 ) -> list[str]:
     problems = []
-    if not view["primary"]:
+    if not newest_view["primary"]:
         problems.append("no primary")
     if not steward:
         problems.append("no steward")
     for name in ("slots", "connections"):
-        use = _use(views, name)
+        use = _limit_usage(views, name)
         if use.shared > use.limit:
-            problems.append(f"{name} shared out over the limit")
-    for target in view["targets"]:
+            problems.append(f"shares of {name} exceed the limit")
+    for target in newest_view["targets"]:
         name = target["name"]
-        heard = target["heard_ms"]
-        if heard is None or heard > SILENT_MS:
-            problems.append(f"{name} not heard")
-        elif target["term"] != view["term"]:
+        response_age_ms = target["heard_ms"]
+        if response_age_ms is None or response_age_ms > UNRESPONSIVE_MS:
+            problems.append(f"{name} does not answer")
+        elif target["term"] != newest_view["term"]:
             problems.append(f"{name} at term {target['term']}")
         elif target["role"] == "fenced":
             problems.append(f"{name} fenced")
--- a/bamboospring/fleet_view.py
+++ b/bamboospring/fleet_view.py
@@ -1,7 +1,7 @@
-"""Ask all VMs for their status, on an operator's demand only.
+"""Collect the status of all VMs when an operator requests it.
 
-Nothing of this runs by itself: at 480 VMs a look at the fleet is 480 messages,
-a few at a time, for an operator who waits for it.
+Nothing is collected in the background: with 480 VMs one collection takes 480
+messages. They are sent a few at a time while the operator waits.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 __all__ = ["FleetView"]
 
-AT_ONCE = 16
-ASK_TIMEOUT = 2.0
+MAX_CONCURRENT_REQUESTS = 16
+REQUEST_TIMEOUT = 2.0
 
 OnFleet = Callable[[dict[str, Any]], None]
 
 
 class FleetView:
-    """Gather the status of every VM, and answer others who do."""
+    """Collects the status of every VM, and answers requests of others."""
 
     def __init__(
         self,
@@ -39,22 +39,24 @@
         self._board = board
         self._peers = peers
         self._describe = describe
-        peers.add_handler("status", self._on_question)
-
-    def gather(self, on_done: OnFleet) -> None:
-        """Call back once with what all VMs say; silent ones are named."""
-        me = self._board.local_vm.name
-        others = [vm for vm in self._board.vms.values() if vm.name != me]
-        round_ = _Round(
+        peers.add_handler("status", self._on_request)
+
+    def gather(self, on_complete: OnFleet) -> None:
+        """Call `on_complete` once with all statuses and unresponsive VMs."""
+        local_name = self._board.local_vm.name
+        others = [
+            vm for vm in self._board.vms.values() if vm.name != local_name
+        ]
+        round_ = _StatusCollection(
             peers=self._peers,
-            waiting=sorted(others, key=lambda vm: vm.name),
-            on_done=on_done,
-            asked_by=me,
+            pending=sorted(others, key=lambda vm: vm.name),
+            on_complete=on_complete,
+            asked_by=local_name,
         )
-        round_.take(self._describe())
+        round_.add_status(self._describe())
         round_.start()
 
-    def _on_question(self, message: Any, reply: Reply) -> None:
+    def _on_request(self, message: Any, reply: Reply) -> None:
         if len(message.status.body):
             return
         answer = new_envelope()
@@ -62,62 +64,62 @@
         reply(answer)
 
 
-class _Round:
-    """One look at the whole fleet."""
+class _StatusCollection:
+    """One collection of the statuses of all VMs."""
 
     def __init__(
         self,
         *,
         peers: Peers,
-        waiting: list[Vm],
-        on_done: OnFleet,
+        pending: list[Vm],
+        on_complete: OnFleet,
         asked_by: str,
     ) -> None:
         self._peers = peers
-        self._waiting = waiting
-        self._known = {asked_by, *(vm.name for vm in waiting)}
-        self._vms: list[dict[str, Any]] = []
-        self._silent: list[dict[str, str]] = []
-        self._on_done = on_done
+        self._pending = pending
+        self._known_names = {asked_by, *(vm.name for vm in pending)}
+        self._statuses: list[dict[str, Any]] = []
+        self._unresponsive: list[dict[str, str]] = []
+        self._on_complete = on_complete
         self._asked_by = asked_by
-        self._out = 0
+        self._in_flight = 0
 
     def start(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_CONCURRENT_REQUESTS):
             self._ask_next()
-        if self._out == 0:
+        if self._in_flight == 0:
             self._finish()
 
-    def take(self, status: dict[str, Any]) -> None:
-        """Take a status, and ask the entry-only processes that it names."""
-        self._vms.append(status)
+    def add_status(self, status: dict[str, Any]) -> None:
+        """Add a status, and query the entry-only processes that it lists."""
+        self._statuses.append(status)
         for each in status.get("processes", ()):
-            if each["name"] not in self._known:
-                self._known.add(each["name"])
-                self._waiting.append(Vm(**each))
+            if each["name"] not in self._known_names:
+                self._known_names.add(each["name"])
+                self._pending.append(Vm(**each))
 
     def _ask_next(self) -> None:
-        if not self._waiting:
+        if not self._pending:
             return
-        vm = self._waiting.pop(0)
-        self._out += 1
-        question = new_envelope()
-        question.init("status")
+        vm = self._pending.pop(0)
+        self._in_flight += 1
+        request = new_envelope()
+        request.init("status")
 
         def answered(answer: Any) -> None:
-            self._out -= 1
-            self._take(vm, answer)
+            self._in_flight -= 1
+            self._handle_answer(vm, answer)
             self._ask_next()
-            if self._out == 0:
+            if self._in_flight == 0:
                 self._finish()
 
-        self._peers.ask(vm.address, question, ASK_TIMEOUT, answered)
+        self._peers.ask(vm.address, request, REQUEST_TIMEOUT, answered)
 
-    def _take(self, vm: Vm, answer: Any) -> None:
+    def _handle_answer(self, vm: Vm, answer: Any) -> None:
         if not isinstance(answer, PeerLost) and answer.which() == "status":
-            self.take(orjson.loads(answer.status.body))
+            self.add_status(orjson.loads(answer.status.body))
             return
-        self._silent.append(
+        self._unresponsive.append(
             {
                 "vm": vm.name,
                 "address": vm.address,
@@ -126,10 +128,10 @@
         )
 
     def _finish(self) -> None:
-        self._on_done(
+        self._on_complete(
             {
                 "asked_by": self._asked_by,
-                "vms": sorted(self._vms, key=lambda each: each["vm"]),
-                "silent": self._silent,
+                "vms": sorted(self._statuses, key=lambda each: each["vm"]),
+                "silent": self._unresponsive,
             }
         )
--- a/bamboospring/load.py
+++ b/bamboospring/load.py
@@ -1,12 +1,12 @@
-"""An open-loop load and experiment tool: `bamboospring load`.
+"""Open-loop load generator: `bamboospring load`.
 
-Statements arrive at random (Poisson) instants that do not depend on earlier
-answers, so a slow proxy gets no less load than a fast one. Latency counts from
-the instant at which a statement was due, not from when it could be sent:
-otherwise a stall would hide itself. The seed fixes arrivals and mix.
+Statements arrive as a Poisson process that does not depend on earlier
+answers, so a slow proxy gets the same load as a fast one. Latency is measured
+from the arrival time of a statement, not from the time when it is sent;
+otherwise measurements would omit stalls. The seed determines arrivals and mix.
 
-The tool is for test estates. It is bounded in time, rate and connections, and
-speaks only to addresses on this machine.
+The tool is for test fleets. Its duration, rate and connections are limited,
+and it connects only to addresses on this machine.
 
 Example::
 
@@ -45,24 +45,24 @@
 MAX_SECONDS = 600.0
 MAX_RATE = 50_000.0
 MAX_CALLERS = 2_000
-LOOPBACK = "127."
+LOOPBACK_PREFIX = "127."
 CONNECT_TIMEOUT = 2.0
-# Answers are waited for this much longer than the deadline, in seconds.
-GRACE = 1.0
-HIGHEST_MICROSECONDS = 120_000_000
-DIGITS = 3
+# How long answers are awaited after the deadline, in seconds.
+ANSWER_GRACE_SECONDS = 1.0
+MAX_LATENCY_MICROSECONDS = 120_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 LOST = "lost"
 UNSENT = "unsent"
 
 
 class LoadError(BamboospringError):
-    """The plan is out of bounds or can't be begun."""
+    """The plan exceeds a limit or can't be started."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fault:
-    """A call to a stand-in, `at` seconds after the begin."""
+    """A request to a stand-in, `at` seconds after the start."""
 
     at: float
     address: str
@@ -72,7 +72,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadPlan:
-    """What to send. Shares are percent, `rate` is statements a second."""
+    """The load to send.
+
+    Shares are in percent, `rate` is in statements per second.
+    """
 
     entries: tuple[str, ...]
     group: str
@@ -91,11 +94,13 @@
     faults: tuple[Fault, ...] = ()
 
     def check(self) -> None:
-        """Raise LoadError for what is out of bounds."""
+        """Raise LoadError if a value is out of bounds."""
         addresses = [*self.entries, *(fault.address for fault in self.faults)]
         if not self.entries:
             raise LoadError("no entry to send to")
-        if not all(address.startswith(LOOPBACK) for address in addresses):
+        if not all(
+            address.startswith(LOOPBACK_PREFIX) for address in addresses
+        ):
             raise LoadError("only addresses on this machine are allowed")
         if not 0 < self.seconds <= MAX_SECONDS:
             raise LoadError(f"seconds must be above 0, up to {MAX_SECONDS}")
@@ -110,7 +115,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class LoadResult:
-    """What came back."""
+    """Counts and latencies of the answers."""
 
     plan: LoadPlan
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -121,16 +126,16 @@
     seconds: list[Counter[str]] = field(default_factory=list)
     latencies: dict[str, HdrHistogram] = field(default_factory=dict)
 
-    def note(
+    def record(
         self, outcome: str, latency: float, at: float, reason: str
     ) -> None:
-        """Count one answer."""
+        """Record one answer."""
         self.outcomes[outcome] += 1
         if reason:
             self.reasons[f"{outcome}/{reason}"] += 1
         if outcome not in self.latencies:
             self.latencies[outcome] = HdrHistogram(
-                1, HIGHEST_MICROSECONDS, DIGITS
+                1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS
             )
         self.latencies[outcome].record_value(max(1, int(latency * 1e6)))
         while len(self.seconds) <= int(at):
@@ -138,11 +143,11 @@
         self.seconds[int(at)][outcome] += 1
 
     def percentile(self, outcome: str, percent: float) -> float:
-        """Return a latency in milliseconds, 0 if there was no such answer."""
-        found = self.latencies.get(outcome)
-        if found is None:
+        """Return a latency in milliseconds, 0 without such an answer."""
+        histogram = self.latencies.get(outcome)
+        if histogram is None:
             return 0.0
-        return float(found.get_value_at_percentile(percent)) / 1000
+        return float(histogram.get_value_at_percentile(percent)) / 1000
 
     def summary(self) -> dict[str, Any]:
         """Return the result as a JSON object."""
@@ -171,7 +176,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class _Session:
-    """One caller's session on one connection."""
+    """A caller's session on one connection."""
 
     entry: str
     caller: str
@@ -180,15 +185,15 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Due:
-    """A statement that has arrived."""
+class _Arrival:
+    """A statement to send, with its arrival time."""
 
     at: float
     kind: str
 
 
-class _Load(BaseComponent):
-    """Sends what the plan says and stops the process's manager."""
+class _LoadGenerator(BaseComponent):
+    """Sends the plan's load and then stops the root component."""
 
     channel = "*"
 
@@ -199,12 +204,12 @@
         self._plan = plan
         self._random = random.Random(plan.seed)
         self._idle: deque[_Session] = deque()
-        self._waiting: deque[_Due] = deque()
+        self._queue: deque[_Arrival] = deque()
         self._opening = 0
-        self._busy = 0
-        self._began = 0.0
-        self._next = 0.0
-        self._over = False
+        self._in_flight = 0
+        self._started_at = 0.0
+        self._next_arrival_at = 0.0
+        self._arrivals_ended = False
 
     @handler("started")
     def _on_started(self, *_args: Any) -> None:
@@ -217,16 +222,16 @@
             session = _Session(
                 entry=plan.entries[number % len(plan.entries)], caller=name
             )
-            self._open(session, self._opened)
+            self._open_session(session, self._on_session_opened)
 
-    def _open(
-        self, session: _Session, done: Callable[[_Session], None]
+    def _open_session(
+        self, session: _Session, on_complete: Callable[[_Session], None]
     ) -> None:
         conn = HttpConnection(reactor=self._reactor, address=session.entry)
 
         def connected(ok: bool) -> None:
             if not ok:
-                done(session)
+                on_complete(session)
                 return
             body = orjson.dumps({"caller": session.caller})
             conn.request(
@@ -238,44 +243,50 @@
                 session.conn = conn
                 token = orjson.loads(answer.body)["token"]
                 session.token = session.token or token
-            done(session)
+            on_complete(session)
 
         conn.connect(CONNECT_TIMEOUT, connected)
 
-    def _opened(self, session: _Session) -> None:
+    def _on_session_opened(self, session: _Session) -> None:
         self._opening -= 1
         self._idle.append(session)
         if self._opening == 0:
-            self._begin()
+            self._start_arrivals()
 
-    def _begin(self) -> None:
-        # What stands now stays to the end; not looking at it again keeps
-        # the tool's own pauses out of the latencies.
+    def _start_arrivals(self) -> None:
+        # Objects created so far live until the end. Excluding them from
+        # garbage collection keeps its pauses out of the latencies.
         gc.freeze()
-        now = self._began = self._reactor.now()
+        now = self._started_at = self._reactor.now()
         for fault in self._plan.faults:
-            self._reactor.call_later(fault.at, partial(self._break, fault))
-        self._next = now + self._gap()
-        self._arrive()
+            self._reactor.call_later(
+                fault.at, partial(self._inject_fault, fault)
+            )
+        self._next_arrival_at = now + self._next_interval()
+        self._add_arrivals()
 
-    def _gap(self) -> float:
+    def _next_interval(self) -> float:
         return self._random.expovariate(self._plan.rate)
 
-    def _arrive(self) -> None:
+    def _add_arrivals(self) -> None:
         now = self._reactor.now()
-        end = self._began + self._plan.seconds
-        while self._next <= now and self._next < end:
-            self._waiting.append(_Due(at=self._next, kind=self._kind()))
-            self._next += self._gap()
-        self._send_waiting()
-        if self._next < end:
-            self._reactor.call_later(max(0.0, self._next - now), self._arrive)
+        end = self._started_at + self._plan.seconds
+        while self._next_arrival_at <= now and self._next_arrival_at < end:
+            self._queue.append(
+                _Arrival(at=self._next_arrival_at, kind=self._draw_kind())
+            )
+            self._next_arrival_at += self._next_interval()
+        self._send_queued()
+        if self._next_arrival_at < end:
+            self._reactor.call_later(
+                max(0.0, self._next_arrival_at - now), self._add_arrivals
+            )
         else:
-            wait = self._plan.deadline_ms / 1000 + GRACE
+            wait = self._plan.deadline_ms / 1000 + ANSWER_GRACE_SECONDS
             self._reactor.call_later(wait, self._finish)
-            self._over = True
+            self._arrivals_ended = True
 
-    def _kind(self) -> str:
+    def _draw_kind(self) -> str:
         draw = self._random.random() * 100
         if draw < self._plan.write_percent:
             return "write"
@@ -283,43 +294,45 @@
             return "transaction"
         return "read"
 
-    def _send_waiting(self) -> None:
-        while self._waiting and self._idle:
-            due = self._waiting.popleft()
+    def _send_queued(self) -> None:
+        while self._queue and self._idle:
+            arrival = self._queue.popleft()
             session = self._idle.popleft()
-            self._busy += 1
-            if due.kind == "transaction":
-                _Transaction(load=self, session=session, due=due).begin()
+            self._in_flight += 1
+            if arrival.kind == "transaction":
+                _Transaction(
+                    load=self, session=session, arrival=arrival
+                ).begin()
             else:
-                self._statement(session, due)
+                self._send_statement(session, arrival)
 
-    def _statement(self, session: _Session, due: _Due) -> None:
+    def _send_statement(self, session: _Session, arrival: _Arrival) -> None:
         plan = self._plan
-        write = due.kind == "write"
+        is_write = arrival.kind == "write"
         body: dict[str, Any] = {
             "token": session.token,
             "group": plan.group,
-            "kind": due.kind,
-            "sql": plan.write_sql if write else plan.read_sql,
+            "kind": arrival.kind,
+            "sql": plan.write_sql if is_write else plan.read_sql,
             "params": [],
-            "staleness_ms": None if write else plan.staleness_ms,
+            "staleness_ms": None if is_write else plan.staleness_ms,
             "deadline_ms": plan.deadline_ms,
         }
-        self.post(
+        self.send_request(
             session,
             "/v1/statements",
             body,
-            lambda data: self.done(session, due, data),
+            lambda data: self.record_answer(session, arrival, data),
         )
 
-    def post(
+    def send_request(
         self,
         session: _Session,
         path: str,
         body: dict[str, Any],
         on_data: Callable[[dict[str, Any]], None],
     ) -> None:
-        """Send one request; a lost one gives the outcome `lost`."""
+        """Send a request; one without an answer has the outcome `lost`."""
 
         def answered(answer: HttpAnswer | HttpLost) -> None:
             if isinstance(answer, HttpLost):
@@ -331,17 +344,19 @@
             on_data(data)
 
         if session.conn is None or not session.conn.usable:
-            self._open(
+            self._open_session(
                 session,
-                lambda _s: self._post_again(session, path, body, answered),
+                lambda _s: self._send_after_reconnect(
+                    session, path, body, answered
+                ),
             )
             return
-        timeout = self._plan.deadline_ms / 1000 + GRACE
+        timeout = self._plan.deadline_ms / 1000 + ANSWER_GRACE_SECONDS
         session.conn.request(
             "POST", path, orjson.dumps(body), timeout, answered
         )
 
-    def _post_again(
+    def _send_after_reconnect(
         self,
         session: _Session,
         path: str,
@@ -352,41 +367,43 @@
             answered(HttpLost(sent=False, reason="connect"))
             return
         body = {**body, "token": session.token}
-        timeout = self._plan.deadline_ms / 1000 + GRACE
+        timeout = self._plan.deadline_ms / 1000 + ANSWER_GRACE_SECONDS
         session.conn.request(
             "POST", path, orjson.dumps(body), timeout, answered
         )
 
-    def done(self, session: _Session, due: _Due, data: dict[str, Any]) -> None:
-        """Count an answer and let the session take the next statement."""
+    def record_answer(
+        self, session: _Session, arrival: _Arrival, data: dict[str, Any]
+    ) -> None:
+        """Record an answer and make its session available again."""
         now = self._reactor.now()
         result = self.result
-        result.note(
+        result.record(
             data.get("outcome") or LOST,
-            now - due.at,
-            now - self._began,
+            now - arrival.at,
+            now - self._started_at,
             data.get("reason") or "",
         )
         if data.get("target"):
             result.targets[data["target"]] += 1
         result.at_replica += bool(data.get("at_replica"))
-        self._busy -= 1
+        self._in_flight -= 1
         self._idle.append(session)
-        self._send_waiting()
-        if self._over and self._busy == 0 and not self._waiting:
+        self._send_queued()
+        if self._arrivals_ended and self._in_flight == 0 and not self._queue:
             self._finish()
 
     def _finish(self) -> None:
         if self.result.elapsed:
             return
         now = self._reactor.now()
-        self.result.elapsed = min(now - self._began, self._plan.seconds)
-        unsent = len(self._waiting) + self._busy
+        self.result.elapsed = min(now - self._started_at, self._plan.seconds)
+        unsent = len(self._queue) + self._in_flight
         if unsent:
             self.result.outcomes[UNSENT] = unsent
         self.root.stop()
 
-    def _break(self, fault: Fault) -> None:
+    def _inject_fault(self, fault: Fault) -> None:
         conn = HttpConnection(reactor=self._reactor, address=fault.address)
 
         def connected(ok: bool) -> None:
@@ -404,19 +421,21 @@
 
 
 class _Transaction:
-    """Begin, one write, commit; the first that fails ends it."""
+    """A transaction of one write; the first step that fails ends it."""
 
-    def __init__(self, *, load: _Load, session: _Session, due: _Due) -> None:
+    def __init__(
+        self, *, load: _LoadGenerator, session: _Session, arrival: _Arrival
+    ) -> None:
         self._load = load
         self._session = session
-        self._due = due
+        self._arrival = arrival
         self._steps = deque(["begin", "statement", "commit"])
 
     def begin(self) -> None:
         """Send the first step."""
-        self._step("")
+        self._send_step("")
 
-    def _step(self, transaction: str) -> None:
+    def _send_step(self, transaction: str) -> None:
         plan = self._load.result.plan
         step = self._steps.popleft()
         body: dict[str, Any] = {
@@ -429,33 +448,33 @@
             "params": [],
             "deadline_ms": plan.deadline_ms,
         }
-        self._load.post(
-            self._session, "/v1/transactions", body, self._answered
+        self._load.send_request(
+            self._session, "/v1/transactions", body, self._on_answer
         )
 
-    def _answered(self, data: dict[str, Any]) -> None:
+    def _on_answer(self, data: dict[str, Any]) -> None:
         if data.get("outcome") == "done" and self._steps:
-            self._step(data["transaction"])
+            self._send_step(data["transaction"])
         else:
-            self._load.done(self._session, self._due, data)
+            self._load.record_answer(self._session, self._arrival, data)
 
 
 def run(plan: LoadPlan) -> LoadResult:
-    """Send what the plan says and return what came back.
+    """Send the plan's load and return the result.
 
-    Raises LoadError if the plan is out of bounds.
+    Raise LoadError if the plan is out of bounds.
     """
     plan.check()
     root = Component()
     reactor = Reactor().register(root)
-    load = _Load(reactor=reactor, plan=plan).register(root)
+    load = _LoadGenerator(reactor=reactor, plan=plan).register(root)
     root.run()
     return load.result
 
 
 def plot(result: LoadResult, path: str) -> None:
-    """Draw answers by second and latencies into an image file."""
-    # Only here: it takes 60 MB and half a second to load.
+    """Plot answers per second and latencies into an image file."""
+    # Imported here because it takes 60 MB and half a second to load.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/bamboospring/load_command.py
+++ b/bamboospring/load_command.py
@@ -17,43 +17,51 @@
 
 
 def add_to(root: typer.Typer) -> None:
-    """Add the command to the program's."""
+    """Add the command of this module to the command line."""
     root.command()(load)
 
 
 def load(
     group: Annotated[str, typer.Option(help="Database group.")],
     entry: Annotated[
-        list[str], typer.Option(help="A VM's address for callers; repeat.")
+        list[str], typer.Option(help="A VM's address for callers; repeatable.")
     ],
-    rate: Annotated[float, typer.Option(help="Statements a second.")],
-    seconds: Annotated[float, typer.Option(help="How long.")] = 10.0,
-    callers: Annotated[int, typer.Option(help="Sessions at once.")] = 32,
+    rate: Annotated[float, typer.Option(help="Statements per second.")],
+    seconds: Annotated[
+        float, typer.Option(help="Duration of the load.")
+    ] = 10.0,
+    callers: Annotated[int, typer.Option(help="Concurrent sessions.")] = 32,
     write_percent: Annotated[float, typer.Option(help="Writes.")] = 0.0,
     transaction_percent: Annotated[
-        float, typer.Option(help="Transactions of one write.")
+        float, typer.Option(help="Share of transactions of one write.")
     ] = 0.0,
-    read_sql: Annotated[str, typer.Option(help="The read.")] = "SELECT 1",
-    write_sql: Annotated[str, typer.Option(help="The write.")] = "",
+    read_sql: Annotated[str, typer.Option(help="SQL of a read.")] = "SELECT 1",
+    write_sql: Annotated[str, typer.Option(help="SQL of a write.")] = "",
     staleness_ms: Annotated[
-        int | None, typer.Option(help="Age that reads accept.")
+        int | None, typer.Option(help="Maximum staleness of reads.")
     ] = None,
-    deadline_ms: Annotated[int, typer.Option(help="Of a statement.")] = 1000,
-    seed: Annotated[int, typer.Option(help="Fixes arrivals and mix.")] = 1,
+    deadline_ms: Annotated[
+        int, typer.Option(help="Deadline of a statement.")
+    ] = 1000,
+    seed: Annotated[
+        int, typer.Option(help="Determines arrivals and mix.")
+    ] = 1,
     faults: Annotated[
         Path | None,
         typer.Option(help="JSON list of {at, address, path, body}."),
     ] = None,
-    plot: Annotated[Path | None, typer.Option(help="Image to draw.")] = None,
+    plot: Annotated[
+        Path | None, typer.Option(help="Image file for a plot.")
+    ] = None,
     output: Annotated[
         Path | None, typer.Option(help="File for the JSON result.")
     ] = None,
 ) -> None:
     """Send an open-loop load to VMs on this machine and report.
 
-    Statements arrive at random instants whatever the answers; latencies
-    count from those instants. Prints the result as JSON. Ends with 1 if no
-    statement was done.
+    Statements arrive at random times that do not depend on answers, and
+    latencies are measured from these times. Prints the result as JSON. Exits
+    with 1 if no statement was done.
     """
     tool = import_module("bamboospring.load")
     try:
--- a/bamboospring/logs.py
+++ b/bamboospring/logs.py
@@ -7,9 +7,9 @@
     time=2026-01-31T09:30:00.123Z level=info event=promoted group=g1 term=4 \
 reason=primary_silent
 
-to standard error. Fields keep the order in which they were given. The
-correlation id of a statement is the field `trace`; it is the same at the
-entry and at the holder.
+to standard error. Fields keep the order of the arguments. The field `trace` is
+the correlation id of a statement; it is the same at the entry and at the
+holder.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Level(IntEnum):
-    """How much an event matters; lower ones are left out first."""
+    """Severity of an event; lower levels are left out first."""
 
     DEBUG = 10
     INFO = 20
@@ -50,7 +50,7 @@
     ERROR = 40
 
 
-_PLAIN = re.compile(r"[^\s\"=\\\x00-\x1f\x7f]+").fullmatch
+_is_plain = re.compile(r"[^\s\"=\\\x00-\x1f\x7f]+").fullmatch
 _logger = eliot.Logger()
 _threshold = Level.INFO
 _context: dict[str, Any] = {}
@@ -63,10 +63,10 @@
     write: Callable[[str], object] | None = None,
     **context: Any,
 ) -> None:
-    """Set the lowest level that is written and the fields on every line.
+    """Set the lowest level to write and the fields of every line.
 
-    `write` takes one line with its newline; by default it is standard
-    error's. Call again to change the level of a running process.
+    `write` takes one line with its newline; the default writes to standard
+    error. Call it again to change the level of a running process.
     """
     global _destination
     global _threshold
@@ -85,43 +85,45 @@
 
 
 def configure_node(*, level: str, vm: str) -> None:
-    """Log to standard output, bounded and without ever waiting for it."""
-    global _sink
-    if _sink is None:
-        _sink = LineSink(fd=sys.stdout.fileno())
-    configure(level=level, write=_sink.write, vm=vm)
+    """Log to standard output without blocking, with a bounded buffer."""
+    global _output
+    if _output is None:
+        _output = LineSink(fd=sys.stdout.fileno())
+    configure(level=level, write=_output.write, vm=vm)
 
 
 def wanted(name: str, level: Level) -> bool:
-    """Tell whether one more event of a name is within this second's bound.
+    """Return whether one more event of a name is within the rate limit.
 
-    Under load there are thousands of a kind. What went well is left out
-    first; a later line of the same name says how many were.
+    Under load there are thousands of events of a name per second. Events
+    below the level WARNING have a lower limit. A later `left_out` line
+    reports how many lines of the name were not written.
     """
     if level < _threshold:
         return False
-    return _bounds.allow(name, level, time.monotonic())
+    return _rate_limiter.allow(name, level, time.monotonic())
 
 
 def left_out() -> int:
     """Return how many lines were left out since the start."""
-    lost = _sink.dropped if _sink is not None else 0
-    return _bounds.total + lost
+    dropped = _output.dropped if _output is not None else 0
+    return _rate_limiter.total + dropped
 
 
 def flush() -> None:
-    """Write what is still held back, as far as it is taken."""
-    if _sink is not None:
-        _sink.flush()
+    """Write as much of the buffer as possible without blocking."""
+    if _output is not None:
+        _output.flush()
 
 
 class Bounds:
-    """How many lines of each name may be written in a second."""
+    """Limits the lines of each event name per second."""
 
-    # Lines a second of one name: of what went well enough to see the usual
-    # case, of what did not as many as a person can be expected to need.
-    GOOD = 5
-    BAD = 100
+    # Lines per second of one name. A few lines below WARNING are enough to see
+    # the usual case; of warnings and errors, as many lines are written as an
+    # operator can be expected to need.
+    MAX_INFO_LINES = 5
+    MAX_WARNING_LINES = 100
 
     def __init__(self) -> None:
         self.total = 0
@@ -130,66 +132,70 @@
 
     def allow(self, name: str, level: Level, now: float) -> bool:
         if int(now) != self._second:
-            self._begin_second(int(now))
+            self._start_second(int(now))
         bad = level >= Level.WARNING
         key = (name, bad)
         count = self._counts[key] = self._counts.get(key, 0) + 1
-        return count <= (self.BAD if bad else self.GOOD)
+        return count <= (
+            self.MAX_WARNING_LINES if bad else self.MAX_INFO_LINES
+        )
 
-    def _begin_second(self, second: int) -> None:
+    def _start_second(self, second: int) -> None:
         counts, self._counts = self._counts, {}
         self._second = second
         for (name, bad), count in counts.items():
-            over = count - (self.BAD if bad else self.GOOD)
-            if over > 0:
-                self.total += over
-                log_event("left_out", of=name, bad=bad, lines=over)
+            excess = count - (
+                self.MAX_WARNING_LINES if bad else self.MAX_INFO_LINES
+            )
+            if excess > 0:
+                self.total += excess
+                log_event("left_out", of=name, bad=bad, lines=excess)
 
 
 class LineSink:
-    """Writes lines to a descriptor and never waits for its reader.
+    """Writes lines to a file descriptor without blocking.
 
-    A reader that has stopped fills the pipe; a process that then waited in a
-    write would keep every caller waiting. What does not fit is held up to a
-    bound, and then dropped and counted.
+    If the reader stops, the pipe fills up, and a blocking write would delay
+    every caller. Lines that do not fit are buffered up to a limit; further
+    lines are dropped and counted.
     """
 
-    MOST_HELD = 256 * 1024
-    WRITE_AT_ONCE = 16 * 1024
+    MAX_BUFFERED_BYTES = 256 * 1024
+    MAX_WRITE_BYTES = 16 * 1024
 
     def __init__(self, *, fd: int) -> None:
         self.dropped = 0
         self._fd = fd
-        self._held = bytearray()
+        self._buffer = bytearray()
         os.set_blocking(fd, False)
 
     def write(self, line: str) -> None:
-        """Take one line with its newline."""
+        """Write or buffer one line with its newline."""
         data = line.encode("utf-8", "replace")
-        if len(self._held) + len(data) > self.MOST_HELD:
+        if len(self._buffer) + len(data) > self.MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._held += data
+        self._buffer += data
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as is taken now."""
-        while self._held:
+        """Write as much of the buffer as possible without blocking."""
+        while self._buffer:
             try:
-                sent = os.write(self._fd, self._held[: self.WRITE_AT_ONCE])
+                sent = os.write(self._fd, self._buffer[: self.MAX_WRITE_BYTES])
             except BlockingIOError:
                 return
             except OSError:
-                # Whoever reads is gone. Serving goes on: a proxy that stops
-                # because its log pipe broke would cut every caller.
-                self.dropped += self._held.count(b"\n")
-                self._held.clear()
+                # The reader has closed the pipe. The process continues,
+                # because stopping it would disconnect every caller.
+                self.dropped += self._buffer.count(b"\n")
+                self._buffer.clear()
                 return
-            del self._held[:sent]
+            del self._buffer[:sent]
 
 
-_bounds = Bounds()
-_sink: LineSink | None = None
+_rate_limiter = Bounds()
+_output: LineSink | None = None
 
 
 def log_event(
@@ -197,9 +203,9 @@
 ) -> None:
     """Log an event with its fields.
 
-    An event under the threshold costs one comparison. Eliot's own
-    `log_message` makes a UUID for each message that is in no action; as the
-    correlation id is ours, its logger is used directly.
+    An event below the threshold costs one comparison. The logger is used
+    directly, because eliot's `log_message` creates a UUID for each message
+    outside an action, and `trace` already is the correlation id.
     """
     if level < _threshold:
         return
@@ -218,33 +224,33 @@
     write: Callable[[str], object],
 ) -> Callable[[dict[str, Any]], None]:
     def destination(message: dict[str, Any]) -> None:
-        write(_line(message))
+        write(_format_line(message))
 
     return destination
 
 
-def _line(message: dict[str, Any]) -> str:
+def _format_line(message: dict[str, Any]) -> str:
     parts = [
-        f"time={_timestamp(message.pop('timestamp', 0.0))}",
+        f"time={_format_timestamp(message.pop('timestamp', 0.0))}",
         f"level={message.pop('level', 'info')}",
         f"event={message.pop('message_type', 'event')}",
     ]
     parts.extend(
-        f"{key}={_text(value)}"
+        f"{key}={_format_value(value)}"
         for key, value in message.items()
         if key not in ("task_uuid", "task_level")
     )
     return " ".join(parts) + "\n"
 
 
-def _timestamp(seconds: float) -> str:
+def _format_timestamp(seconds: float) -> str:
     moment = datetime.fromtimestamp(seconds, timezone.utc)
     return moment.strftime("%Y-%m-%dT%H:%M:%S.") + (
         f"{moment.microsecond // 1000:03d}Z"
     )
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     match value:
         case str():
             text = str(value.value if hasattr(value, "value") else value)
@@ -258,9 +264,9 @@
             text = str(int(value))
         case _:
             text = json.dumps(value, default=str, separators=(",", ":"))
-    # A value with a space or a newline would break the line into pairs that
-    # nobody wrote, also on purpose (a caller's text), so it is quoted.
-    return text if _PLAIN(text) else json.dumps(text)
+    # Quotes a value with a space or a newline. Otherwise a caller's text could
+    # forge fields or lines, by accident or on purpose.
+    return text if _is_plain(text) else json.dumps(text)
 
 
 def _write_stderr(line: str) -> None:
@@ -268,8 +274,8 @@
         sys.stderr.write(line)
         sys.stderr.flush()
     except (OSError, ValueError):
-        # Whoever reads our standard error is gone. Serving goes on: a proxy
-        # that stops because its log pipe broke would cut every caller.
+        # The reader of standard error has closed it. The process continues,
+        # because stopping it would disconnect every caller.
         pass
 
 
--- a/bamboospring/losses.py
+++ b/bamboospring/losses.py
@@ -1,10 +1,10 @@
-"""What callers lost between two moments, and why, from the logs of all VMs.
+"""Count failed statements and their reasons in the logs of all VMs.
 
     bamboospring losses --since 2026-01-31T09:30:00 vm-*.log
 
-A row for each group, kind of statement and reason, with the seconds in which
-it happened: what an operator asks first after an incident, before the story
-of any one request.
+Prints a row for each group, kind of statement and reason, with the first and
+last second. This is the overview of an incident, before `bamboospring explain`
+shows single requests.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 from bamboospring.explain import Event
 
-__all__ = ["Loss", "count_losses", "losses_text"]
+__all__ = ["Loss", "count_losses", "format_losses"]
 
-WELL = frozenset({"served", "acknowledged"})
-# Times in logs are text of a fixed form; so many characters name a second.
-SECOND = len("2026-01-31T09:30:00")
-NONE = "No statement failed."
+SUCCESS_OUTCOMES = frozenset({"served", "acknowledged"})
+# Times in logs are text of a fixed format; so many characters name a second.
+SECOND_LENGTH = len("2026-01-31T09:30:00")
+NO_LOSSES = "No statement failed."
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Loss:
-    """Statements of one group and kind that ended badly for one reason."""
+    """Statements of one group and kind that failed for one reason."""
 
     group: str
     kind: str
@@ -41,7 +41,7 @@
 def count_losses(
     events: Iterable[Event], *, since: str = "", until: str = "~"
 ) -> list[Loss]:
-    """Count the statements that ended badly, the most frequent first.
+    """Count the failed statements, the most frequent first.
 
     `since` and `until` are compared with the times of the lines as text.
     """
@@ -49,19 +49,22 @@
     times: dict[tuple[str, str, str, str, str], list[str]] = {}
     for event in events:
         fields = event.fields
-        if event.name != "answered" or fields.get("outcome") in WELL:
+        if (
+            event.name != "answered"
+            or fields.get("outcome") in SUCCESS_OUTCOMES
+        ):
             continue
         if not since <= event.time <= until:
             continue
         key = (
             fields.get("group", ""),
-            _kind(fields),
+            _statement_kind(fields),
             fields.get("outcome", ""),
             fields.get("reason", ""),
             fields.get("waited_for", ""),
         )
         counts[key] += 1
-        times.setdefault(key, []).append(event.time[:SECOND])
+        times.setdefault(key, []).append(event.time[:SECOND_LENGTH])
     return [
         Loss(
             group=key[0],
@@ -77,7 +80,7 @@
     ]
 
 
-def _kind(fields: dict[str, str]) -> str:
+def _statement_kind(fields: dict[str, str]) -> str:
     kind = fields.get("kind", "")
     return (
         f"{kind} in transaction"
@@ -86,15 +89,17 @@
     )
 
 
-def losses_text(losses: Sequence[Loss]) -> list[str]:
+def format_losses(losses: Sequence[Loss]) -> list[str]:
     """Return the losses as lines of text."""
     if not losses:
-        return [NONE]
+        return [NO_LOSSES]
     lines = []
     for loss in losses:
-        waited = f", waited for {loss.waited_for}" if loss.waited_for else ""
+        cause_suffix = (
+            f", waited for {loss.waited_for}" if loss.waited_for else ""
+        )
         lines.append(
             f"{loss.count:6d} {loss.group} {loss.kind}: {loss.outcome}, "
-            f"{loss.reason}{waited} ({loss.first} to {loss.last})"
+            f"{loss.reason}{cause_suffix} ({loss.first} to {loss.last})"
         )
     return lines
--- a/bamboospring/metrics.py
+++ b/bamboospring/metrics.py
@@ -1,13 +1,13 @@
-"""Count what callers got, cheaply enough to do it for every statement.
+"""Count outcomes of statements at a cost low enough for every statement.
 
-The numbers are kept in plain fields here and turned into OpenTelemetry's data
-only when somebody asks (`bamboospring.metrics_export`): recording one value in
-the SDK's histogram took 17 us on the machine that docs/DESIGN.md names, which
-at 1,833 statements a second would be 3 % of a core for one instrument.
+Counts are kept in plain fields and converted to OpenTelemetry data only at a
+scrape (`bamboospring.metrics_export`). Recording one value in the SDK's
+histogram takes 17 us on the machine described in docs/DESIGN.md, which at
+1,833 statements per second is 3 % of a core for one instrument.
 
-Cardinality is bounded by construction: histograms have no group, counters of a
-group exist only for groups that the process knows, at most `MAX_GROUPS`, and
-only counters that have moved are shown.
+Cardinality is bounded: histograms have no group label, counters exist only for
+groups that the process knows, for at most `MAX_GROUPS` groups, and only
+counters above zero are exported.
 """
 
 from __future__ import annotations
@@ -40,15 +40,15 @@
     "Series",
 ]
 
-# Upper bounds in seconds: those that the OpenTelemetry conventions give for
-# database clients, with two more where our latencies lie.
+# Upper bounds in seconds: those of the OpenTelemetry conventions for database
+# clients, and two more in the range of the proxy's latencies.
 BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.5, 1.0, 5.0, 10.0)
 MAX_GROUPS = 1024
 OTHER_GROUPS = "_other"
-# Writes that stand still for less are ordinary latency, not a gap.
-SHORTEST_GAP = 0.25
+# A shorter time without a completed write, in seconds, is ordinary latency.
+MIN_GAP_SECONDS = 0.25
 
-# Answers that speak of the caller's request and not of our service.
+# Reasons for which the caller's request is at fault, not the service.
 CALLERS_FAULTS = frozenset(
     {
         Reason.BAD_REQUEST,
@@ -63,7 +63,7 @@
 
 
 class Kind(str, Enum):
-    """How a series behaves over time."""
+    """Type of a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -72,25 +72,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class Distribution:
-    """A histogram over `BOUNDS`, with one bucket more for what is above."""
+    """A histogram over `BOUNDS`, with an additional overflow bucket."""
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(BOUNDS) + 1))
     total: float = 0.0
 
     def record(self, seconds: float) -> None:
-        """Count one duration."""
+        """Record one duration."""
         self.counts[bisect_left(BOUNDS, seconds)] += 1
         self.total += seconds
 
 
 @dataclass(slots=True, kw_only=True)
 class GroupCounts:
-    """What callers of one group got at this entry since the process started.
+    """Counts of one group at this entry since the process started.
 
-    `reads` and `writes` were answered with `Done`; `slow` ones among them took
-    longer than the group's objective. `failures` are by reason and leave out
-    the callers' own faults. Gaps are times in which no write was completed
-    although one was under way.
+    `reads` and `writes` count answers with `Done`; those in `slow` took
+    longer than the group's objective. `failures` are counted by reason and
+    exclude callers' errors. Gaps are times in which no write was completed
+    although at least one was in progress.
     """
 
     reads: int = 0
@@ -106,7 +106,7 @@
     completed_at: float = -1e9
 
     def as_json(self) -> dict[str, object]:
-        """Return the counts as the status page has them."""
+        """Return the counts as JSON data for the status."""
         return {
             "reads": self.reads,
             "writes": self.writes,
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Point:
-    """One value of a series with the attributes that tell it from others."""
+    """One value of a series with the attributes that identify it."""
 
     attributes: dict[str, str]
     value: float | Distribution
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Series:
-    """A metric with its points; units are those of UCUM."""
+    """A metric with its points; units are UCUM codes."""
 
     name: str
     kind: Kind
@@ -139,25 +139,25 @@
     points: list[Point]
 
 
-Read = Callable[[], float | Mapping[str, float]]
+ReadValue = Callable[[], float | Mapping[str, float]]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Source:
+class _RegisteredMetric:
     name: str
     kind: Kind
     unit: str
     description: str
     label: str
-    read: Read
+    read: ReadValue
 
 
 class Metrics:
-    """All that one process counts.
+    """All metrics of one process.
 
-    `knows` tells whether a group exists: without it a caller could fill the
-    memory by asking for groups that do not. `slow_after` gives the seconds
-    within which a group's statements are to be answered.
+    `knows` returns whether a group exists. Without it, a caller could exhaust
+    memory with requests for unknown groups. `slow_after` returns the seconds
+    after which a statement of a group counts as slow.
     """
 
     def __init__(
@@ -166,29 +166,31 @@
         knows: Callable[[str], bool],
         slow_after: Callable[[str], float],
     ) -> None:
-        self._knows = knows
-        self._slow_after = slow_after
-        self._limits: dict[str, float] = {}
-        self._sources: list[_Source] = []
+        self._is_known_group = knows
+        self._slow_threshold = slow_after
+        self._slow_thresholds: dict[str, float] = {}
+        self._registered: list[_RegisteredMetric] = []
         self.groups: dict[str, GroupCounts] = {}
-        self.reads = Distribution()
-        self.writes = Distribution()
+        self.read_durations = Distribution()
+        self.write_durations = Distribution()
 
     def answered(
         self, stmt: Statement, outcome: Outcome, seconds: float, now: float
     ) -> None:
         """Count a statement answered at `now` (monotonic) after `seconds`."""
-        counts = self._counts(stmt.group)
-        (self.writes if stmt.write else self.reads).record(seconds)
+        counts = self._counts_of_group(stmt.group)
+        (self.write_durations if stmt.write else self.read_durations).record(
+            seconds
+        )
         if isinstance(outcome, Done):
-            self._done(counts, stmt, outcome, seconds)
+            self._count_done(counts, stmt, outcome, seconds)
             if stmt.write:
-                _write_completed(counts, now - seconds, now)
+                _record_write_completed(counts, now - seconds, now)
             return
         if isinstance(outcome, Failed) or outcome.reason in CALLERS_FAULTS:
             counts.callers_faults += 1
             return
-        cause = f"{_WORDS[type(outcome)]}.{outcome.reason.value}"
+        cause = f"{_OUTCOME_NAMES[type(outcome)]}.{outcome.reason.value}"
         counts.failures[cause] = counts.failures.get(cause, 0) + 1
         if stmt.write and counts.stalled_since is None:
             counts.stalled_since = now - seconds
@@ -196,16 +198,16 @@
     def watch(
         self,
         name: str,
-        read: Read,
+        read: ReadValue,
         *,
         description: str,
         unit: str = "1",
         kind: Kind = Kind.GAUGE,
         label: str = "",
     ) -> None:
-        """Show what `read` returns when asked: a number, or one by label."""
-        self._sources.append(
-            _Source(
+        """Export the result of `read`: a number, or numbers by label."""
+        self._registered.append(
+            _RegisteredMetric(
                 name=name,
                 kind=kind,
                 unit=unit,
@@ -216,23 +218,23 @@
         )
 
     def series(self) -> Iterator[Series]:
-        """Return all metrics as they are now."""
-        yield self._durations()
-        yield from self._by_group()
+        """Return all metrics with their current values."""
+        yield self._duration_series()
+        yield from self._group_series()
         yield from self.sources()
 
     def sources(self) -> Iterator[Series]:
-        """Return what is watched, without what callers got."""
-        for source in self._sources:
+        """Return the registered metrics, without the counts of statements."""
+        for metric in self._registered:
             yield Series(
-                name=source.name,
-                kind=source.kind,
-                unit=source.unit,
-                description=source.description,
-                points=_points(source),
+                name=metric.name,
+                kind=metric.kind,
+                unit=metric.unit,
+                description=metric.description,
+                points=_points(metric),
             )
 
-    def _done(
+    def _count_done(
         self,
         counts: GroupCounts,
         stmt: Statement,
@@ -244,24 +246,24 @@
         else:
             counts.reads += 1
             counts.replica_reads += outcome.at_replica
-        if seconds > self._limit(stmt.group):
+        if seconds > self._group_slow_threshold(stmt.group):
             counts.slow += 1
 
-    def _counts(self, group: str) -> GroupCounts:
-        found = self.groups.get(group)
-        if found is not None:
-            return found
-        if len(self.groups) >= MAX_GROUPS or not self._knows(group):
+    def _counts_of_group(self, group: str) -> GroupCounts:
+        counts = self.groups.get(group)
+        if counts is not None:
+            return counts
+        if len(self.groups) >= MAX_GROUPS or not self._is_known_group(group):
             group = OTHER_GROUPS
         return self.groups.setdefault(group, GroupCounts())
 
-    def _limit(self, group: str) -> float:
-        limit = self._limits.get(group)
+    def _group_slow_threshold(self, group: str) -> float:
+        limit = self._slow_thresholds.get(group)
         if limit is None:
-            limit = self._limits[group] = self._slow_after(group)
+            limit = self._slow_thresholds[group] = self._slow_threshold(group)
         return limit
 
-    def _durations(self) -> Series:
+    def _duration_series(self) -> Series:
         return Series(
             name="db.client.operation.duration",
             kind=Kind.HISTOGRAM,
@@ -270,13 +272,13 @@
             points=[
                 Point(attributes={"db.operation.name": name}, value=value)
                 for name, value in (
-                    ("read", self.reads),
-                    ("write", self.writes),
+                    ("read", self.read_durations),
+                    ("write", self.write_durations),
                 )
             ],
         )
 
-    def _by_group(self) -> Iterator[Series]:
+    def _group_series(self) -> Iterator[Series]:
         for name, description, read in _GROUP_COUNTERS:
             points = [
                 Point(attributes={"db.namespace": group}, value=read(counts))
@@ -306,7 +308,7 @@
         )
 
 
-_WORDS: dict[type[Outcome], str] = {
+_OUTCOME_NAMES: dict[type[Outcome], str] = {
     NotRun: "not_run",
     Overloaded: "overloaded",
     Unknown: "unknown",
@@ -348,30 +350,33 @@
 )
 
 
-def _write_completed(counts: GroupCounts, begun_at: float, now: float) -> None:
-    """End a gap, if there was one.
+def _record_write_completed(
+    counts: GroupCounts, begun_at: float, now: float
+) -> None:
+    """Record a completed write, and the gap that it ends, if any.
 
-    A gap runs from the beginning of the first write that then failed, or of
-    this one, which may have waited for the new primary at the entry.
+    A gap starts with the first write that failed since the last completed
+    one, or with this one, which may have waited at the entry for a new
+    primary.
     """
     since = counts.stalled_since
     since = begun_at if since is None else min(since, begun_at)
-    # A write that was slow while others were completed is no gap.
+    # A write that was slow while others were completed does not make a gap.
     gap = now - max(since, counts.completed_at)
     counts.stalled_since = None
     counts.completed_at = now
-    if gap < SHORTEST_GAP:
+    if gap < MIN_GAP_SECONDS:
         return
     counts.gaps += 1
     counts.gap_seconds += gap
     counts.longest_gap = max(counts.longest_gap, gap)
 
 
-def _points(source: _Source) -> list[Point]:
-    value = source.read()
+def _points(metric: _RegisteredMetric) -> list[Point]:
+    value = metric.read()
     if isinstance(value, Mapping):
         return [
-            Point(attributes={source.label: key}, value=number)
+            Point(attributes={metric.label: key}, value=number)
             for key, number in value.items()
         ]
     return [Point(attributes={}, value=value)]
--- a/bamboospring/metrics_export.py
+++ b/bamboospring/metrics_export.py
@@ -1,9 +1,9 @@
-"""Show the metrics of a process through OpenTelemetry's exporters.
+"""Export the metrics of a process through OpenTelemetry's exporters.
 
-The series become the SDK's own data, which its exporter turns into the
-Prometheus text; names and units follow OpenTelemetry's conventions. The SDK
-is imported at the start of a process: doing so at the first scrape stopped
-the loop, and with it all statements, for 0.1 s.
+The series are converted to the SDK's data, which its exporter renders as
+Prometheus text. Names and units follow OpenTelemetry's conventions. The SDK
+is imported at the start of a process, because an import at the first scrape
+blocks the event loop, and with it all statements, for 0.1 s.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Exporter:
-    """Turn series into the text that Prometheus scrapes."""
+    """Renders series as text for Prometheus."""
 
     def __init__(self, *, vm: str, availability_zone: str) -> None:
         self._resource = Resource(
@@ -50,13 +50,14 @@
             }
         )
         self._scope = InstrumentationScope("bamboospring", __version__)
-        self._started = time.time_ns()
+        self._started_ns = time.time_ns()
         self._registry = CollectorRegistry()
         self._reader = PrometheusMetricReader(
             scope_info_enabled=False, registry=self._registry
         )
-        # The reader would ask a meter provider, which there is none of: our
-        # instruments are too many for the SDK's cost of recording.
+        # Without a callback the reader does not collect from a meter provider.
+        # There is none, because recording every value with the SDK's
+        # instruments is too expensive.
         self._reader._collector._callback = None
 
     def text(self, series: Iterable[Series]) -> bytes:
@@ -65,7 +66,7 @@
         return generate_latest(self._registry)
 
     def data(self, series: Iterable[Series]) -> MetricsData:
-        """Return the series as OpenTelemetry's data, for any exporter."""
+        """Return the series as OpenTelemetry data, for any exporter."""
         now = time.time_ns()
         metrics = [self._metric(each, now) for each in series if each.points]
         return MetricsData(
@@ -95,25 +96,29 @@
             case Kind.HISTOGRAM:
                 return Histogram(
                     data_points=[
-                        self._distribution(point, now)
+                        self._histogram_point(point, now)
                         for point in series.points
                     ],
                     aggregation_temporality=AggregationTemporality.CUMULATIVE,
                 )
             case Kind.COUNTER:
                 return Sum(
-                    data_points=self._numbers(series.points, now),
+                    data_points=self._number_points(series.points, now),
                     aggregation_temporality=AggregationTemporality.CUMULATIVE,
                     is_monotonic=True,
                 )
             case Kind.GAUGE:
-                return Gauge(data_points=self._numbers(series.points, now))
+                return Gauge(
+                    data_points=self._number_points(series.points, now)
+                )
 
-    def _numbers(self, points: list[Point], now: int) -> list[NumberDataPoint]:
+    def _number_points(
+        self, points: list[Point], now: int
+    ) -> list[NumberDataPoint]:
         return [
             NumberDataPoint(
                 attributes=point.attributes,
-                start_time_unix_nano=self._started,
+                start_time_unix_nano=self._started_ns,
                 time_unix_nano=now,
                 value=point.value,
             )
@@ -121,12 +126,12 @@
             if not isinstance(point.value, Distribution)
         ]
 
-    def _distribution(self, point: Point, now: int) -> HistogramDataPoint:
+    def _histogram_point(self, point: Point, now: int) -> HistogramDataPoint:
         assert isinstance(point.value, Distribution)
         counts = point.value.counts
         return HistogramDataPoint(
             attributes=point.attributes,
-            start_time_unix_nano=self._started,
+            start_time_unix_nano=self._started_ns,
             time_unix_nano=now,
             count=sum(counts),
             sum=point.value.total,
--- a/bamboospring/operator_client.py
+++ b/bamboospring/operator_client.py
@@ -1,4 +1,4 @@
-"""Talk to the operators' listener of one of several VMs.
+"""Client for the operators' listener of one of several VMs.
 
 client = OperatorClient(vms=("10.0.0.1:9000",), token="...")
 client.call("GET", "/table")
@@ -32,11 +32,11 @@
 
 
 class OperatorClient:
-    """Ask the VMs in turn until one answers.
+    """Sends a request to the VMs in turn until one answers.
 
-    Only requests that may be repeated are sent by it: reads, and edits, which
-    are told apart by their ids. `authority` is the path of a certificate file
-    for TLS, empty for plain text.
+    Use it only for requests that can be repeated safely: reads, and edits,
+    which have unique ids. `authority` is the path of a certificate file for
+    TLS; empty means plain text.
     """
 
     def __init__(
@@ -53,19 +53,19 @@
         self._authority = authority
 
     def call(self, method: str, path: str, body: Any = None) -> OperatorAnswer:
-        """Return the first VM's answer; raise `Unreachable` if none comes."""
+        """Return the first answer; raise `Unreachable` if no VM answers."""
         failures = []
         for vm in self._vms:
             try:
-                return self._call(vm, method, path, body)
+                return self._send(vm, method, path, body)
             except (OSError, http.client.HTTPException, ValueError) as exc:
                 failures.append(f"{vm}: {exc or type(exc).__name__}")
         raise Unreachable("no VM answers: " + "; ".join(failures))
 
-    def _call(
+    def _send(
         self, vm: str, method: str, path: str, body: Any
     ) -> OperatorAnswer:
-        conn = self._connection(vm)
+        conn = self._new_connection(vm)
         headers = {
             "Authorization": f"Bearer {self._token}",
             "Content-Type": "application/json",
@@ -81,7 +81,7 @@
             vm=vm, status=resp.status, body=json.loads(data) if data else None
         )
 
-    def _connection(self, vm: str) -> http.client.HTTPConnection:
+    def _new_connection(self, vm: str) -> http.client.HTTPConnection:
         host, _, port = vm.rpartition(":")
         if not self._authority:
             return http.client.HTTPConnection(
--- a/bamboospring/operators.py
+++ b/bamboospring/operators.py
@@ -1,16 +1,16 @@
 """The operators' HTTP listener.
 
-    GET  /healthz              is the process alive (no token)
-    GET  /readyz               may callers be sent here (no token)
+    GET  /healthz              liveness of the process (no token)
+    GET  /readyz               whether the VM accepts callers (no token)
     GET  /metrics              metrics for Prometheus
-    GET  /status.json          this VM
-    GET  /fleet.json           all VMs, asked now
-    GET  /status               the fleet as a page to look at
-    POST /groups/NAME/primary  hand the primary over: {"target": "name or ''"}
+    GET  /status.json          status of this VM
+    GET  /fleet.json           status of all VMs, queried for this request
+    GET  /status               HTML page with the status of the fleet
+    POST /groups/NAME/primary  change the primary: {"target": "name or ''"}
     /table...                  the operators' table
 
-All but the first two need the operators' token: as `Authorization: Bearer`,
-or as the password of HTTP basic authentication, which is what browsers offer.
+All but the first two require the operators' token: as `Authorization: Bearer`,
+or as the password of HTTP basic authentication, which browsers support.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
 
 __all__ = ["Operators"]
 
-OPEN_PATHS = frozenset({"/healthz", "/readyz"})
+PUBLIC_PATHS = frozenset({"/healthz", "/readyz"})
 JSON_TYPE = "application/json"
 HTML_TYPE = "text/html; charset=utf-8"
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-COMPRESS_FROM = 1024
-COMPRESS_LEVEL = 1
+MIN_COMPRESSED_BYTES = 1024
+COMPRESSION_LEVEL = 1
 
 Respond = Callable[[Response], None]
 HandleTable = Callable[[Request, Respond], bool]
@@ -53,9 +53,9 @@
 
 
 class Operators:
-    """Serve operators and the metrics' scraper.
+    """HTTP listener for operators and the metrics scraper.
 
-    `token` is asked for at each request, so that it can change while the
+    `token` is called for each request, so that the token can change while the
     process runs.
     """
 
@@ -79,9 +79,9 @@
         self._fleet = fleet
         self._handle_table = handle_table
         self._hand_over = hand_over
-        me = board.local_vm
+        local_vm = board.local_vm
         self._exporter = Exporter(
-            vm=me.name, availability_zone=me.availability_zone
+            vm=local_vm.name, availability_zone=local_vm.availability_zone
         )
         self.server = HttpServer(
             reactor=reactor, address=address, handler=self._handle
@@ -89,51 +89,61 @@
 
     @property
     def address(self) -> str:
-        """Return the address listened on, with the port really in use."""
+        """Return the address listened on, with the actual port."""
         return self.server.address
 
     def _handle(self, req: Request, respond: Respond) -> None:
         path = urlsplit(req.path).path
-        if path not in OPEN_PATHS and not self._may(req):
-            respond(_challenge())
-        elif req.method == "POST" and not _says_json(req):
-            # A page of another site can make a signed-in browser send a
-            # form here, but not one of this type.
-            respond(_problem(HTTPStatus.UNSUPPORTED_MEDIA_TYPE, JSON_TYPE))
+        if path not in PUBLIC_PATHS and not self._is_authorized(req):
+            respond(_unauthorized_response())
+        elif req.method == "POST" and not _has_json_body(req):
+            # Protects against cross-site request forgery: a page of another
+            # site can make a signed-in browser send a form, but not JSON.
+            respond(
+                _error_response(HTTPStatus.UNSUPPORTED_MEDIA_TYPE, JSON_TYPE)
+            )
         elif not self._handle_table(req, respond):
             self._route(req, path, respond)
 
     def _route(self, req: Request, path: str, respond: Respond) -> None:
         match req.method, path.split("/")[1:]:
             case "GET", ["healthz"]:
-                respond(_json({"alive": True}))
+                respond(_json_response({"alive": True}))
             case "GET", ["readyz"]:
                 respond(self._readiness())
             case "GET", ["metrics"]:
-                respond(_compressed(req, self._metrics_text(), METRICS_TYPE))
+                respond(
+                    _compressed_response(
+                        req, self._metrics_text(), METRICS_TYPE
+                    )
+                )
             case "GET", ["status.json"]:
                 body = orjson.dumps(self._status.describe())
-                respond(_compressed(req, body, JSON_TYPE))
+                respond(_compressed_response(req, body, JSON_TYPE))
             case "GET", ["fleet.json"]:
                 self._fleet.gather(
                     lambda found: respond(
-                        _compressed(req, orjson.dumps(found), JSON_TYPE)
+                        _compressed_response(
+                            req, orjson.dumps(found), JSON_TYPE
+                        )
                     )
                 )
             case "GET", ["status"]:
-                self._fleet.gather(lambda found: respond(_page(found)))
+                self._fleet.gather(
+                    lambda found: respond(_page_response(found))
+                )
             case "POST", ["groups", name, "primary"]:
                 respond(self._change_primary(unquote(name), req.body))
             case _:
-                respond(_problem(HTTPStatus.NOT_FOUND, "no such page"))
+                respond(_error_response(HTTPStatus.NOT_FOUND, "no such page"))
 
-    def _may(self, req: Request) -> bool:
-        given = _credential(req.headers.get("authorization", ""))
-        return hmac.compare_digest(given.encode(), self._token().encode())
+    def _is_authorized(self, req: Request) -> bool:
+        token = _credential(req.headers.get("authorization", ""))
+        return hmac.compare_digest(token.encode(), self._token().encode())
 
     def _readiness(self) -> Response:
         reasons = unreadiness(self._board)
-        return _json(
+        return _json_response(
             {"ready": not reasons, "reasons": reasons},
             HTTPStatus.SERVICE_UNAVAILABLE if reasons else HTTPStatus.OK,
         )
@@ -143,17 +153,17 @@
 
     def _change_primary(self, group: str, body: bytes) -> Response:
         if not self._board.knows_group(group):
-            return _problem(HTTPStatus.NOT_FOUND, f"no group {group}")
+            return _error_response(HTTPStatus.NOT_FOUND, f"no group {group}")
         try:
             target = orjson.loads(body)["target"]
         except (orjson.JSONDecodeError, KeyError, TypeError):
             target = None
         if not isinstance(target, str):
-            return _problem(
-                HTTPStatus.BAD_REQUEST, '{"target": "name or empty"} is needed'
+            return _error_response(
+                HTTPStatus.BAD_REQUEST, 'expected {"target": "name or empty"}'
             )
         self._hand_over(group, target)
-        return _json({"ordered": True}, HTTPStatus.ACCEPTED)
+        return _json_response({"ordered": True}, HTTPStatus.ACCEPTED)
 
 
 def _credential(header: str) -> str:
@@ -171,40 +181,45 @@
             return ""
 
 
-def _says_json(req: Request) -> bool:
-    kind = req.headers.get("content-type", "").partition(";")[0]
-    return kind.strip().lower() == JSON_TYPE
+def _has_json_body(req: Request) -> bool:
+    media_type = req.headers.get("content-type", "").partition(";")[0]
+    return media_type.strip().lower() == JSON_TYPE
 
 
-def _challenge() -> Response:
+def _unauthorized_response() -> Response:
     return Response(
         status=HTTPStatus.UNAUTHORIZED,
-        body=orjson.dumps({"error": "the operators' token is needed"}),
+        body=orjson.dumps({"error": "the operators' token is required"}),
         headers={"WWW-Authenticate": 'Basic realm="bamboospring"'},
     )
 
 
-def _problem(status: HTTPStatus, text: str) -> Response:
-    return _json({"error": text}, status)
+def _error_response(status: HTTPStatus, text: str) -> Response:
+    return _json_response({"error": text}, status)
 
 
-def _json(body: Any, status: HTTPStatus = HTTPStatus.OK) -> Response:
+def _json_response(body: Any, status: HTTPStatus = HTTPStatus.OK) -> Response:
     return Response(status=status, body=orjson.dumps(body))
 
 
-def _page(found: dict[str, Any]) -> Response:
-    from bamboospring.status_html import page
+def _page_response(fleet: dict[str, Any]) -> Response:
+    from bamboospring.status_html import render_page
+
+    return Response(body=render_page(fleet).encode(), content_type=HTML_TYPE)
 
-    return Response(body=page(found).encode(), content_type=HTML_TYPE)
 
+def _compressed_response(
+    req: Request, body: bytes, content_type: str
+) -> Response:
+    """Return a response, compressed if the client accepts gzip.
 
-def _compressed(req: Request, body: bytes, content_type: str) -> Response:
-    """Compress for whoever takes it: a scrape of 530 groups is large."""
-    accepts = "gzip" in req.headers.get("accept-encoding", "")
-    if not accepts or len(body) < COMPRESS_FROM:
+    The metrics of 530 groups are large.
+    """
+    accepts_gzip = "gzip" in req.headers.get("accept-encoding", "")
+    if not accepts_gzip or len(body) < MIN_COMPRESSED_BYTES:
         return Response(body=body, content_type=content_type)
     return Response(
-        body=gzip.compress(body, COMPRESS_LEVEL),
+        body=gzip.compress(body, COMPRESSION_LEVEL),
         content_type=content_type,
         headers={"Content-Encoding": "gzip"},
     )
--- a/bamboospring/report.py
+++ b/bamboospring/report.py
@@ -1,6 +1,6 @@
-"""Read a recorded series and show how the objectives stand.
+"""Read a recorded series and format the report on its objectives.
 
-A series has one JSON object a line, as `bamboospring record` writes it: the
+A series has one JSON object per line, written by `bamboospring record`: the
 time and the counts of every VM that answered.
 """
 
@@ -21,10 +21,10 @@
 from bamboospring.burn import VmCounts
 from bamboospring.errors import SourceError
 
-__all__ = ["as_json", "as_text", "line_of", "read_series"]
+__all__ = ["as_json", "as_text", "format_sample", "read_series"]
 
 MINUTE = 60
-COUNTS = (
+COUNT_NAMES = (
     "reads",
     "writes",
     "replica_reads",
@@ -35,7 +35,7 @@
 )
 
 
-def line_of(fleet: Mapping[str, Any], at: float) -> str:
+def format_sample(fleet: Mapping[str, Any], at: float) -> str:
     """Return one line of a series from the data of `/fleet.json`."""
     vms = {
         status["vm"]: {
@@ -49,7 +49,10 @@
 
 
 def read_series(path: Path) -> list[Sample]:
-    """Return the samples of a series; raise `SourceError` with the line."""
+    """Return the samples of a series, sorted by time.
+
+    Raise `SourceError` with the line if one is malformed.
+    """
     samples = []
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
@@ -59,22 +62,22 @@
         if not line.strip():
             continue
         try:
-            samples.append(_sample(json.loads(line)))
+            samples.append(_parse_sample(json.loads(line)))
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             raise SourceError(
-                f"not a sample: {exc!r}", name=str(path), line=number
+                f"malformed sample: {exc!r}", name=str(path), line=number
             ) from exc
     return sorted(samples, key=lambda sample: sample.at)
 
 
-def _sample(data: Mapping[str, Any]) -> Sample:
+def _parse_sample(data: Mapping[str, Any]) -> Sample:
     return Sample(
         at=float(data["at"]),
         vms={
             vm: VmCounts(
                 started_at=float(each["started_at"]),
                 groups={
-                    group: _tally(counts)
+                    group: _parse_tally(counts)
                     for group, counts in each["counts"].items()
                 },
             )
@@ -83,11 +86,11 @@
     )
 
 
-def _tally(counts: Mapping[str, Any]) -> Tally:
+def _parse_tally(counts: Mapping[str, Any]) -> Tally:
     failures = {
         str(cause): int(number) for cause, number in counts["failures"].items()
     }
-    numbers = {name: int(counts.get(name, 0)) for name in COUNTS}
+    numbers = {name: int(counts.get(name, 0)) for name in COUNT_NAMES}
     return Tally(**numbers, failures=failures)
 
 
@@ -99,17 +102,17 @@
         "begin": samples[0].at if samples else None,
         "end": samples[-1].at if samples else None,
         "samples": len(samples),
-        "groups": [_group_json(each) for each in reports],
+        "groups": [_group_as_json(each) for each in reports],
     }
 
 
-def _group_json(report: GroupReport) -> dict[str, Any]:
+def _group_as_json(report: GroupReport) -> dict[str, Any]:
     share = report.replica_share_percent
     return {
         "group": report.group,
-        "misses": list(report.misses),
-        "availability": _budget_json(report.availability),
-        "latency": _budget_json(report.latency),
+        "misses": list(report.missed_objectives),
+        "availability": _budget_as_json(report.availability),
+        "latency": _budget_as_json(report.latency),
         "latency_ms": report.objective.latency_ms,
         "failover_gap": {
             "allowed_ms": report.objective.failover_gap_ms,
@@ -122,85 +125,85 @@
             "percent": None if share is None else round(share, 3),
         },
         "causes": dict(report.causes),
-        "alerts": [_alert_json(alert) for alert in report.alerts],
+        "alerts": [_alert_as_json(alert) for alert in report.alerts],
     }
 
 
-def _budget_json(budget: Budget) -> dict[str, Any]:
+def _budget_as_json(budget: Budget) -> dict[str, Any]:
     return {
         "target_percent": budget.target_percent,
         "kept_percent": round(budget.kept_percent, 5),
         "bad": budget.bad,
         "total": budget.total,
-        "burn_rate": round(budget.rate, 4),
-        "budget_spent_percent": round(100 * budget.spent, 4),
+        "burn_rate": round(budget.burn_rate, 4),
+        "budget_spent_percent": round(100 * budget.budget_spent, 4),
     }
 
 
-def _alert_json(alert: Alert) -> dict[str, Any]:
+def _alert_as_json(alert: Alert) -> dict[str, Any]:
     return {
         "severity": alert.rule.name,
         "objective": alert.objective,
         "long_minutes": round(alert.rule.long / MINUTE, 3),
         "short_minutes": round(alert.rule.short / MINUTE, 3),
-        "threshold": alert.rule.rate,
+        "threshold": alert.rule.burn_rate,
         "long_rate": round(alert.long_rate, 2),
         "short_rate": round(alert.short_rate, 2),
     }
 
 
 def as_text(samples: Sequence[Sample], reports: Sequence[GroupReport]) -> str:
-    """Return the reports to read in a terminal."""
+    """Return the reports as text for a terminal."""
     if not reports:
         return f"No statement was counted over {len(samples)} samples."
     covered = samples[-1].at - samples[0].at
     lines = [f"{len(samples)} samples over {covered:.0f} s"]
     for report in reports:
         lines.append("")
-        lines.extend(_group_lines(report))
+        lines.extend(_format_group(report))
     return "\n".join(lines)
 
 
-def _group_lines(report: GroupReport) -> list[str]:
+def _format_group(report: GroupReport) -> list[str]:
     tally = report.tally
     objective = report.objective
     share = report.replica_share_percent
-    words = "all objectives met"
-    if report.misses:
-        words = "missed: " + ", ".join(report.misses)
+    result = "all objectives met"
+    if report.missed_objectives:
+        result = "missed: " + ", ".join(report.missed_objectives)
     share_text = "no reads" if share is None else f"{share:.1f} % of reads"
     lines = [
-        f"{report.group}: {words}",
-        f"  availability   {_budget_text(report.availability)}",
-        f"  latency        {_budget_text(report.latency)}"
+        f"{report.group}: {result}",
+        f"  availability   {_format_budget(report.availability)}",
+        f"  latency        {_format_budget(report.latency)}"
         f" (within {objective.latency_ms} ms)",
         f"  failover gap   longest {tally.longest_gap_ms} ms of "
         f"{objective.failover_gap_ms} ms allowed, {tally.gaps} gaps as "
-        "entries saw them",
-        f"  replica share  {share_text}, aim "
+        "seen by entries",
+        f"  replica share  {share_text}, objective "
         f"{objective.replica_share_percent:g} %",
     ]
     lines.extend(
         f"  cause          {cause}: {number}"
         for cause, number in report.causes
     )
-    lines.extend(f"  {_alert_text(alert)}" for alert in report.alerts)
+    lines.extend(f"  {_format_alert(alert)}" for alert in report.alerts)
     return lines
 
 
-def _budget_text(budget: Budget) -> str:
+def _format_budget(budget: Budget) -> str:
     return (
-        f"{budget.kept_percent:.3f} % of {budget.total}, aim "
-        f"{budget.target_percent:g} %, burn rate {budget.rate:.2f}, "
-        f"{100 * budget.spent:.3f} % of the budget spent"
+        f"{budget.kept_percent:.3f} % of {budget.total}, objective "
+        f"{budget.target_percent:g} %, burn rate {budget.burn_rate:.2f}, "
+        f"{100 * budget.budget_spent:.3f} % of the budget spent"
     )
 
 
-def _alert_text(alert: Alert) -> str:
+def _format_alert(alert: Alert) -> str:
     rule = alert.rule
     return (
         f"ALERT ({rule.name}) {alert.objective}: burns at "
         f"{alert.long_rate:.1f} over {rule.long / MINUTE:g} min and "
         f"{alert.short_rate:.1f} over {rule.short / MINUTE:g} min, limit "
-        f"{rule.rate:g}"
+        f"{rule.burn_rate:g}"
     )
--- a/bamboospring/report_html.py
+++ b/bamboospring/report_html.py
@@ -1,8 +1,8 @@
-"""The report as one page with plots; matplotlib is loaded only here.
+"""The report as an HTML page with plots.
 
-The program as it ships to VMs does not hold matplotlib, which with what it
-needs would take three times the memory of all the rest on a VM without disks.
-There the page has no plots.
+Only this module imports matplotlib. The program deployed to VMs does not
+contain it: on a VM without disks, matplotlib and its dependencies would take
+three times the memory of everything else. There the page has no plots.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from bamboospring.burn import tally_between
 from bamboospring.report import as_text
 
-__all__ = ["page"]
+__all__ = ["render_page"]
 
-PLOTTED_GROUPS = 12
+MAX_PLOTTED_GROUPS = 12
 STYLE = """
 body { font: 14px/1.4 system-ui, sans-serif; margin: 2em; color: #222; }
 pre { background: #f6f6f6; padding: 1em; overflow-x: auto; }
@@ -29,15 +29,19 @@
 """
 
 
-def page(samples: Sequence[Sample], reports: Sequence[GroupReport]) -> str:
+def render_page(
+    samples: Sequence[Sample], reports: Sequence[GroupReport]
+) -> str:
     """Return a self-contained HTML page."""
-    # Those that burn most come first: with hundreds of groups a plot of all
-    # would show nothing.
+    # Plots only the groups with the highest burn rates, because a page with
+    # hundreds of plots would be unreadable.
     worst = sorted(
         reports,
-        key=lambda each: max(each.availability.rate, each.latency.rate),
+        key=lambda each: max(
+            each.availability.burn_rate, each.latency.burn_rate
+        ),
         reverse=True,
-    )[:PLOTTED_GROUPS]
+    )[:MAX_PLOTTED_GROUPS]
     images = _images(samples, worst)
     return (
         "<!doctype html><html lang=en><head><meta charset=utf-8>"
@@ -58,16 +62,16 @@
 
 
 def _figure(
-    new_figure: Any, samples: Sequence[Sample], report: GroupReport
+    figure_class: Any, samples: Sequence[Sample], report: GroupReport
 ) -> Any:
-    start = samples[0].at
-    times = [sample.at - start for sample in samples[1:]]
+    series_start = samples[0].at
+    times = [sample.at - series_start for sample in samples[1:]]
     steps = [
         tally_between(samples[at : at + 2], samples[at].at, samples[at + 1].at)
         for at in range(len(samples) - 1)
     ]
     tallies = [step.get(report.group, Tally()) for step in steps]
-    figure = new_figure(figsize=(10, 2.6), layout="constrained")
+    figure = figure_class(figsize=(10, 2.6), layout="constrained")
     axes = figure.add_subplot()
     axes.set_title(report.group)
     axes.set_xlabel("seconds")
--- a/bamboospring/status_html.py
+++ b/bamboospring/status_html.py
@@ -1,4 +1,4 @@
-"""The fleet as a page to look at."""
+"""HTML page with the status of the fleet."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from html import escape
 from typing import Any
 
-from bamboospring.fleet_report import Fleet
-from bamboospring.fleet_report import GroupLine
+from bamboospring.fleet_report import FleetSummary
+from bamboospring.fleet_report import GroupSummary
 from bamboospring.fleet_report import summarise
-from bamboospring.fleet_report import VmLine
+from bamboospring.fleet_report import VmSummary
 
-__all__ = ["page"]
+__all__ = ["render_page"]
 
 REFRESH_SECONDS = 5
 MEGABYTE = 1_000_000
@@ -27,26 +27,26 @@
 """
 
 
-def page(found: Mapping[str, Any]) -> str:
+def render_page(data: Mapping[str, Any]) -> str:
     """Return the page for the data of `/fleet.json`."""
-    fleet = summarise(found)
-    verdict = (
+    fleet = summarise(data)
+    summary = (
         '<p class="good">Nothing needs attention.</p>'
-        if fleet.good
+        if fleet.is_healthy
         else '<p class="bad">Something needs attention.</p>'
     )
     return (
         "<!doctype html><html lang=en><head><meta charset=utf-8>"
         f'<meta http-equiv="refresh" content="{REFRESH_SECONDS}">'
         f"<title>bamboospring</title><style>{STYLE}</style></head><body>"
-        f"<h1>bamboospring</h1><p>As {_text(found['asked_by'])} sees it. "
+        f"<h1>bamboospring</h1><p>As seen by {_escape(data['asked_by'])}. "
         '<a href="/table/page">Table</a></p>'
-        f"{verdict}{_groups(fleet)}{_vms(fleet)}</body></html>"
+        f"{summary}{_groups_section(fleet)}{_vms_section(fleet)}</body></html>"
     )
 
 
-def _groups(fleet: Fleet) -> str:
-    head = (
+def _groups_section(fleet: FleetSummary) -> str:
+    headings = (
         "Group",
         "Term",
         "Primary",
@@ -58,34 +58,34 @@
         "Targets",
         "",
     )
-    return "<h2>Groups</h2>" + _table(head, map(_group_row, fleet.groups))
+    return "<h2>Groups</h2>" + _table(headings, map(_group_row, fleet.groups))
 
 
-def _group_row(line: GroupLine) -> list[str]:
+def _group_row(line: GroupSummary) -> list[str]:
     return [
-        _text(line.group),
-        _text(line.term),
-        _text(line.primary or "none"),
-        _text(line.steward or "none"),
-        _text(", ".join(line.holders)),
-        _text(line.slots),
-        _text(line.connections),
-        _text(line.waiting),
-        "<br>".join(_target(each) for each in line.targets),
-        _problems(line.problems),
+        _escape(line.group),
+        _escape(line.term),
+        _escape(line.primary or "none"),
+        _escape(line.steward or "none"),
+        _escape(", ".join(line.holders)),
+        _escape(line.slots),
+        _escape(line.connections),
+        _escape(line.waiting),
+        "<br>".join(_target_text(each) for each in line.targets),
+        _problems_cell(line.problems),
     ]
 
 
-def _target(target: Mapping[str, Any]) -> str:
+def _target_text(target: Mapping[str, Any]) -> str:
     parts = [f"{target['name']} ({target['site']}): {target['role']}"]
     parts.append(f"applied {target['applied']}")
     if target["lag_ms"] is not None:
         parts.append(f"lag {target['lag_ms']} ms")
-    return _text(", ".join(parts))
+    return _escape(", ".join(parts))
 
 
-def _vms(fleet: Fleet) -> str:
-    head = (
+def _vms_section(fleet: FleetSummary) -> str:
+    headings = (
         "VM",
         "Zone",
         "State",
@@ -96,43 +96,43 @@
         "Memory (MB)",
         "Table",
     )
-    return "<h2>VMs</h2>" + _table(head, map(_vm_row, fleet.vms))
+    return "<h2>VMs</h2>" + _table(headings, map(_vm_row, fleet.vms))
 
 
-def _vm_row(line: VmLine) -> list[str]:
-    state = _text(line.state)
+def _vm_row(line: VmSummary) -> list[str]:
+    state = _escape(line.state)
     if line.state != "ready":
         state = f'<span class="bad">{state}</span>'
-    behind = ""
-    if line.behind:
-        behind = f"behind in shards {', '.join(line.behind)}"
+    outdated = ""
+    if line.outdated_shards:
+        outdated = f"behind in shards {', '.join(line.outdated_shards)}"
     return [
-        _text(line.vm),
-        _text(line.availability_zone),
+        _escape(line.vm),
+        _escape(line.availability_zone),
         state,
-        _text(line.version),
-        _text(line.uptime_s),
-        _text(", ".join(map(str, line.leases))),
-        _text(line.groups),
-        _text(round(line.memory_bytes / MEGABYTE)),
-        _problems((behind,) if behind else ()),
+        _escape(line.version),
+        _escape(line.uptime_s),
+        _escape(", ".join(map(str, line.leases))),
+        _escape(line.groups),
+        _escape(round(line.memory_bytes / MEGABYTE)),
+        _problems_cell((outdated,) if outdated else ()),
     ]
 
 
-def _problems(problems: tuple[str, ...]) -> str:
+def _problems_cell(problems: tuple[str, ...]) -> str:
     if not problems:
         return '<span class="good">good</span>'
-    return f'<span class="bad">{_text("; ".join(problems))}</span>'
+    return f'<span class="bad">{_escape("; ".join(problems))}</span>'
 
 
-def _table(head: Iterable[str], rows: Iterable[list[str]]) -> str:
-    cells = "".join(f"<th>{_text(each)}</th>" for each in head)
+def _table(headings: Iterable[str], rows: Iterable[list[str]]) -> str:
+    heading_cells = "".join(f"<th>{_escape(each)}</th>" for each in headings)
     body = "".join(
         "<tr>" + "".join(f"<td>{cell}</td>" for cell in row) + "</tr>"
         for row in rows
     )
-    return f"<table><tr>{cells}</tr>{body}</table>"
+    return f"<table><tr>{heading_cells}</tr>{body}</table>"
 
 
-def _text(value: object) -> str:
+def _escape(value: object) -> str:
     return escape(str(value))
--- a/bamboospring/status_view.py
+++ b/bamboospring/status_view.py
@@ -1,4 +1,4 @@
-"""What one process knows and does, as plain data for operators."""
+"""Status of one process as JSON data for operators."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 
 __all__ = ["StatusView", "resident_bytes", "unreadiness"]
 
-NEVER = -1e8
-PAGE = resource.getpagesize()
+# Times at or below this were never set; unset times are -1e9.
+NEVER_THRESHOLD = -1e8
+PAGE_BYTES = resource.getpagesize()
 
 
 class StatusView:
-    """Describe this process; `now` is the monotonic clock in seconds.
+    """Describes this process; `now` is the monotonic clock in seconds.
 
-    Only a main process has `pools`, and names the entry-only `processes`
-    beside it; `entry_of` is the VM of an entry-only one.
+    Only a main process has `pools`. It also lists the entry-only `processes`
+    of its VM. `entry_of` is the VM of an entry-only process.
     """
 
     def __init__(
@@ -51,10 +52,10 @@
         self._processes = processes
         self._entry_of = entry_of
         self._now = now
-        self._started = time.time()
+        self._started_at = time.time()
 
     def describe(self) -> dict[str, Any]:
-        """Return the status of this VM as JSON data."""
+        """Return the status of this process as JSON data."""
         board = self._board
         return {
             "vm": board.local_vm.name,
@@ -72,7 +73,7 @@
                 for vm in self._processes()
             ],
             "version": __version__,
-            "started_at": round(self._started, 3),
+            "started_at": round(self._started_at, 3),
             "at": round(time.time(), 3),
             "ready": not unreadiness(board),
             "draining": board.draining,
@@ -82,16 +83,16 @@
                 str(number): shard.version
                 for number, shard in sorted(board.table.items())
             },
-            "leases": self._leases(),
-            "groups": self._groups(),
+            "leases": self._leases_as_json(),
+            "groups": self._groups_as_json(),
             "counts": {
                 name: counts.as_json()
                 for name, counts in self._metrics.groups.items()
             },
-            "process": _process(),
+            "process": _process_as_json(),
         }
 
-    def _leases(self) -> list[dict[str, Any]]:
+    def _leases_as_json(self) -> list[dict[str, Any]]:
         now = self._now()
         return [
             {
@@ -104,15 +105,17 @@
             if lease.valid_until > now
         ]
 
-    def _groups(self) -> dict[str, Any]:
-        me = self._board.local_vm.name
+    def _groups_as_json(self) -> dict[str, Any]:
+        local_name = self._board.local_vm.name
         return {
-            name: self._group(name, group)
+            name: self._group_as_json(name, group)
             for name, group in sorted(self._board.groups.items())
-            if any(vm.name == me for vm in self._placement.holders(name))
+            if any(
+                vm.name == local_name for vm in self._placement.holders(name)
+            )
         }
 
-    def _group(self, name: str, group: Group) -> dict[str, Any]:
+    def _group_as_json(self, name: str, group: Group) -> dict[str, Any]:
         record = group.record
         holders = [vm.name for vm in self._placement.holders(name)]
         return {
@@ -122,11 +125,12 @@
             "bucket": bucket_of(name),
             "holders": holders,
             "targets": [
-                self._target(group, target) for target in record.targets
+                self._target_as_json(group, target)
+                for target in record.targets
             ],
         }
 
-    def _target(self, group: Group, target: Target) -> dict[str, Any]:
+    def _target_as_json(self, group: Group, target: Target) -> dict[str, Any]:
         state = group.state(target.name)
         now = self._now()
         return {
@@ -137,21 +141,21 @@
             "term": state.term,
             "received": state.received,
             "applied": state.applied,
-            "lag_ms": _lag(group, state, now),
+            "lag_ms": _replica_lag_ms(group, state, now),
             "heard_ms": (
                 _milliseconds(now - state.last_response_at)
-                if state.last_response_at > NEVER
+                if state.last_response_at > NEVER_THRESHOLD
                 else None
             ),
             "leaving": state.leaving,
             "outstanding": state.in_flight,
             "slots": target.slots,
             "connections": target.connections,
-            "here": self._use(target),
+            "here": self._local_usage(target),
         }
 
-    def _use(self, target: Target) -> dict[str, int]:
-        """Return this holder's share of the target's limits, and its use."""
+    def _local_usage(self, target: Target) -> dict[str, int]:
+        """Return this holder's share of the target's limits and its usage."""
         assert self._pools is not None, "only holders have groups"
         pool = self._pools.pool(target)
         return {
@@ -164,7 +168,7 @@
 
 
 def unreadiness(board: Blackboard) -> list[str]:
-    """Return why callers should not be sent here; empty if they may be."""
+    """Return why this VM is not ready for callers; empty if it is ready."""
     reasons = []
     if board.draining:
         reasons.append("draining")
@@ -178,25 +182,27 @@
 
 
 def resident_bytes() -> int:
-    """Return the memory that this process occupies."""
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
-        return int(file.read().split()[1]) * PAGE
+        return int(file.read().split()[1]) * PAGE_BYTES
 
 
-def _process() -> dict[str, Any]:
+def _process_as_json() -> dict[str, Any]:
     return {
         "cpu_seconds": round(time.process_time(), 3),
         "memory_bytes": resident_bytes(),
     }
 
 
-def _lag(group: Group, state: TargetState, now: float) -> int | None:
-    """Return a replica's lag in milliseconds, None if it is not known.
+def _replica_lag_ms(
+    group: Group, state: TargetState, now: float
+) -> int | None:
+    """Return a replica's lag in milliseconds, or None if it is unknown.
 
-    One that has all that its primary is known to have lags by nothing, also
-    if the two were last compared a while ago.
+    A replica that has applied everything that its primary is known to have
+    received has a lag of 0, even if the last comparison is older.
     """
-    if state.role is not Role.REPLICA or state.caught_up_at <= NEVER:
+    if state.role is not Role.REPLICA or state.caught_up_at <= NEVER_THRESHOLD:
         return None
     primary = group.states.get(group.record.primary)
     if primary is not None and state.applied >= primary.received:
--- a/bamboospring/table.py
+++ b/bamboospring/table.py
@@ -1,10 +1,10 @@
-"""The operators' table as it is stored: rows, their versions, the history.
+"""Stored form of the operators' table: rows, row versions and history.
 
-A shard of the table is one object at the platform. Beside its rows the object
-has, for each row, the version of the shard that last changed it, and the
-newest changes. An edit names the version of the row that its author saw; if
-the row has changed since, the edit is refused and the author sees by whom and
-how. Edits of different rows never refuse each other.
+Each shard of the table is one object at the platform. Besides its rows, the
+object holds the shard version that last changed each row, and the newest
+changes. An edit names the row version that its author read. If the row has
+changed since, the edit is refused and the author is shown who changed the row
+and how. Edits of different rows never conflict.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     "decode_change",
     "decode_stored",
     "diff_rows",
-    "edited_cells",
+    "edited_columns",
     "encode_change",
     "encode_stored",
     "find_change",
@@ -49,19 +49,20 @@
     "max_staleness_ms",
     "leaving_targets",
 )
-# Bounds the object: 33 rows of 2 kB each at 530 groups leave room to spare
-# under the platform's limit of a megabyte.
+# Limits the size of a shard object. With 530 groups a shard has 33 rows of
+# 2 kB each, which together with the history stays well below the platform's
+# limit of 1 MB.
 HISTORY_LENGTH = 50
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RowEdit:
-    """What an operator wants of one row.
+    """An operator's edit of one row.
 
-    `cells` maps a column, or one entry of a weights column as in
-    `read_weights.new`, to its value. With `replace` columns that are not
-    named go back to their defaults; `remove` deletes the row. `if_version`
-    is the row's version that the operator saw; None stands for any.
+    `cells` maps a column, or one entry of a weights column such as
+    `read_weights.new`, to its value. With `replace`, columns that are not
+    named are reset to their defaults. `remove` deletes the row. `if_version`
+    is the row version that the operator read; None matches any version.
     """
 
     group: str
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RowChange:
-    """A row before and after a change; None stands for no row."""
+    """A row before and after a change; None means that the row is absent."""
 
     group: str
     before: TableRow | None
@@ -82,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Change:
-    """One accepted edit, as the history keeps it.
+    """One accepted edit in the history.
 
-    `base` is the shard's version that it was made on; `at` is UTC in ISO
-    8601. `id` is the author's and tells the change from all others.
+    `base` is the shard version that the edit was applied to. `at` is UTC in
+    ISO 8601 format. `id` is a unique id chosen by the author.
     """
 
     id: str
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoredShard:
-    """A shard's object. Version 0 stands for no object."""
+    """A shard's object. Version 0 means that the object does not exist."""
 
     version: int = 0
     rows: Mapping[str, TableRow] = field(default_factory=dict)
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CellDiff:
-    """One cell that differs."""
+    """A cell whose value differs before and after a change."""
 
     group: str
     column: str
@@ -122,10 +123,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RowConflict:
-    """A row that somebody else has changed since it was read.
+    """A row that another author has changed since it was read.
 
-    `changes` are those of the history since `seen`, oldest first; they are
-    incomplete when the history no longer reaches back so far.
+    `changes` are the changes of the row in the history since version `seen`,
+    oldest first. They are incomplete if the history no longer goes back that
+    far.
     """
 
     group: str
@@ -165,7 +167,7 @@
 
 
 def decode_change(value: Mapping[str, Any]) -> Change:
-    """Return a change of the history."""
+    """Decode a change of the history."""
     return Change(
         id=value["id"],
         at=value["at"],
@@ -184,7 +186,7 @@
 
 
 def encode_change(change: Change) -> dict[str, Any]:
-    """Return a change as JSON."""
+    """Return a change as JSON data."""
     return {
         "id": change.id,
         "at": change.at,
@@ -202,12 +204,12 @@
     }
 
 
-def edited_cells(edit: RowEdit, row: TableRow | None) -> dict[str, Any]:
-    """Return all columns of a row after an edit, not yet checked."""
-    start = row if row is not None else TableRow(group=edit.group)
+def edited_columns(edit: RowEdit, row: TableRow | None) -> dict[str, Any]:
+    """Return all columns of a row after an edit, without validation."""
+    base_row = row if row is not None else TableRow(group=edit.group)
     if edit.replace:
-        start = TableRow(group=edit.group)
-    cells = encode_row(start)
+        base_row = TableRow(group=edit.group)
+    cells = encode_row(base_row)
     for name, value in edit.cells.items():
         column, dot, part = name.partition(".")
         if dot and isinstance(cells.get(column), dict):
@@ -221,7 +223,7 @@
 def find_conflicts(
     shard: StoredShard, edits: Iterable[RowEdit]
 ) -> tuple[RowConflict, ...]:
-    """Return the rows that changed since their editors saw them."""
+    """Return the rows that have changed since the edits' authors read them."""
     return tuple(
         RowConflict(
             group=edit.group,
@@ -245,10 +247,10 @@
     author: str,
     comment: str,
 ) -> StoredShard:
-    """Return a shard with rows replaced, or deleted where None.
+    """Return a shard with rows replaced, or deleted where the value is None.
 
-    The result has the version that the platform gives if the conditional
-    update succeeds. Rows that stay as they are keep their version.
+    The result has the version that the platform assigns if the conditional
+    update succeeds. Unchanged rows keep their version.
     """
     version = shard.version + 1
     new_rows = dict(shard.rows)
@@ -282,7 +284,7 @@
 
 
 def find_change(shard: StoredShard, change_id: str) -> Change | None:
-    """Return a change of the history by its id."""
+    """Return the change with an id, or None if the history lacks it."""
     for change in reversed(shard.history):
         if change.id == change_id:
             return change
@@ -290,20 +292,20 @@
 
 
 def diff_rows(changes: Sequence[RowChange]) -> tuple[CellDiff, ...]:
-    """Return the cells that differ, row by row."""
+    """Return the cells that differ, in the order of the rows."""
     return tuple(
         CellDiff(group=row.group, column=column, before=old, after=new)
         for row in changes
-        for column, old, new in _cells(row)
+        for column, old, new in _column_values(row)
         if old != new
     )
 
 
-def _cells(row: RowChange) -> Iterable[tuple[str, Any, Any]]:
-    # A row that is not there is in force as one that sets nothing.
-    default = TableRow(group=row.group)
-    before = encode_row(row.before or default)
-    after = encode_row(row.after or default)
+def _column_values(change: RowChange) -> Iterable[tuple[str, Any, Any]]:
+    # An absent row has the same effect as a row with default values.
+    default = TableRow(group=change.group)
+    before = encode_row(change.before or default)
+    after = encode_row(change.after or default)
     for column in COLUMNS:
         yield column, before[column], after[column]
 
--- a/bamboospring/table_check.py
+++ b/bamboospring/table_check.py
@@ -1,7 +1,7 @@
-"""Check an edited row before it is stored; each fault names its cell.
+"""Validate an edited row before it is stored; each error names its cell.
 
-Types and ranges are checked by a model at the border; what depends on the
-group (its sites, its targets, their limits) by plain rules after it.
+A pydantic model checks types and ranges. The functions after it check what
+depends on the group: its sites, its targets and their limits.
 """
 
 from __future__ import annotations
@@ -24,33 +24,33 @@
 from bamboospring.blackboard import Target
 from bamboospring.table import COLUMNS
 
-__all__ = ["CellError", "check_cells", "check_row", "sites_in_use"]
+__all__ = ["CellError", "check_cells", "check_row", "sites_with_weight"]
 
-WHOLE = 100
+TOTAL_WEIGHT = 100
 MAX_STALENESS_MS = 86_400_000
-NEAR_ENOUGH = 0.6
+SUGGESTION_CUTOFF = 0.6
 
-Weight = Annotated[int, Field(ge=0, le=WHOLE)]
+Weight = Annotated[int, Field(ge=0, le=TOTAL_WEIGHT)]
 Limit = Annotated[int, Field(ge=0, le=100_000)]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CellError:
-    """Why a cell cannot be accepted."""
+    """The reason why a cell is refused."""
 
     group: str
     column: str
     message: str
 
     def __str__(self) -> str:
-        where = f"row {self.group}"
+        location = f"row {self.group}"
         if self.column:
-            where += f", column {self.column}"
-        return f"{where}: {self.message}"
+            location += f", column {self.column}"
+        return f"{location}: {self.message}"
 
 
 class _Cells(BaseModel):
-    """The columns of a row, with their types and ranges."""
+    """The columns of a row with their types and ranges."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
@@ -65,11 +65,13 @@
 def check_cells(
     group: str, cells: Mapping[str, Any]
 ) -> TableRow | tuple[CellError, ...]:
-    """Return the row that the cells make, or what is wrong with them."""
+    """Return the row made of the cells, or the errors in them."""
     try:
         model = _Cells.model_validate(dict(cells))
     except ValidationError as exc:
-        return tuple(_cell_error(group, error) for error in _errors(exc))
+        return tuple(
+            _cell_error(group, error) for error in _validation_errors(exc)
+        )
     return TableRow(
         group=group,
         read_weights=model.read_weights,
@@ -86,103 +88,111 @@
     record: GroupRecord | None,
     unreachable: Collection[str] = (),
 ) -> tuple[CellError, ...]:
-    """Check a row against its group.
+    """Return the errors of a row with respect to its group.
 
-    `unreachable` names targets that did not answer just now. A site is
-    refused only if none of its targets can serve, so that weights can be
-    edited while some target is down.
+    `unreachable` names the targets that did not answer a probe. A site is
+    refused only if none of its targets answers, so that weights can be edited
+    while a single target is down.
     """
     if record is None:
         message = "there is no such group"
         return (CellError(group=row.group, column="group", message=message),)
     return tuple(
         CellError(group=row.group, column=column, message=message)
-        for column, message in _faults(row, record, unreachable)
+        for column, message in _row_errors(row, record, unreachable)
     )
 
 
-def sites_in_use(row: TableRow) -> set[str]:
-    """Return the sites that a row gives work to."""
+def sites_with_weight(row: TableRow) -> set[str]:
+    """Return the sites to which a row gives a weight above 0."""
     weights = [*row.read_weights.items(), *row.write_weights.items()]
     return {site for site, weight in weights if weight > 0}
 
 
-Faults = Iterator[tuple[str, str]]
+ColumnErrors = Iterator[tuple[str, str]]
 
 
-def _faults(
+def _row_errors(
     row: TableRow, record: GroupRecord, unreachable: Collection[str]
-) -> Faults:
-    yield from _leaving_faults(row, record)
-    serving = [
+) -> ColumnErrors:
+    yield from _leaving_target_errors(row, record)
+    serving_targets = [
         target
         for target in record.targets
         if target.name not in row.leaving_targets
     ]
     for column in ("read_weights", "write_weights"):
         weights = getattr(row, column)
-        yield from _sum_faults(column, weights)
-        yield from _site_faults(column, weights, record, serving)
-        yield from _reach_faults(column, weights, serving, unreachable)
-    yield from _limit_faults(row, record)
+        yield from _weight_sum_errors(column, weights)
+        yield from _site_errors(column, weights, record, serving_targets)
+        yield from _reachability_errors(
+            column, weights, serving_targets, unreachable
+        )
+    yield from _limit_errors(row, record)
 
 
-def _leaving_faults(row: TableRow, record: GroupRecord) -> Faults:
+def _leaving_target_errors(row: TableRow, record: GroupRecord) -> ColumnErrors:
     column = "leaving_targets"
     known = [target.name for target in record.targets]
     for name in row.leaving_targets:
         if name not in known:
-            yield column, f"unknown target {name!r}{_meant(name, known)}"
+            yield column, f"unknown target {name!r}{_suggestion(name, known)}"
     if known and set(known) <= set(row.leaving_targets):
         yield column, "no target would be left"
 
 
-def _sum_faults(column: str, weights: Mapping[str, int]) -> Faults:
+def _weight_sum_errors(
+    column: str, weights: Mapping[str, int]
+) -> ColumnErrors:
     total = sum(weights.values())
-    if weights and total != WHOLE:
-        yield column, f"the weights add up to {total}, not to {WHOLE}"
+    if weights and total != TOTAL_WEIGHT:
+        yield column, f"the weights add up to {total}, not to {TOTAL_WEIGHT}"
 
 
-def _site_faults(
+def _site_errors(
     column: str,
     weights: Mapping[str, int],
     record: GroupRecord,
-    serving: Collection[Target],
-) -> Faults:
+    serving_targets: Collection[Target],
+) -> ColumnErrors:
     known = sorted({target.site for target in record.targets})
-    staying = {target.site for target in serving}
+    serving_sites = {target.site for target in serving_targets}
     for site, weight in weights.items():
         if site not in known:
-            yield column, f"unknown site {site!r}{_meant(site, known)}"
-        elif weight > 0 and site not in staying:
+            yield column, f"unknown site {site!r}{_suggestion(site, known)}"
+        elif weight > 0 and site not in serving_sites:
             yield column, f"all targets at site {site!r} are leaving"
 
 
-def _reach_faults(
+def _reachability_errors(
     column: str,
     weights: Mapping[str, int],
-    serving: Collection[Target],
+    serving_targets: Collection[Target],
     unreachable: Collection[str],
-) -> Faults:
+) -> ColumnErrors:
     for site, weight in weights.items():
-        names = [target.name for target in serving if target.site == site]
+        names = [
+            target.name for target in serving_targets if target.site == site
+        ]
         if weight > 0 and names and set(names) <= set(unreachable):
-            tried = ", ".join(names)
-            yield column, f"no target at site {site!r} answers ({tried})"
+            listed = ", ".join(names)
+            yield column, f"no target at site {site!r} answers ({listed})"
 
 
-def _limit_faults(row: TableRow, record: GroupRecord) -> Faults:
-    for column, part in (
+def _limit_errors(row: TableRow, record: GroupRecord) -> ColumnErrors:
+    for column, attribute in (
         ("max_connections", "connections"),
         ("max_slots", "slots"),
     ):
         limit = getattr(row, column)
-        allowed = max((getattr(t, part) for t in record.targets), default=0)
+        allowed = max(
+            (getattr(t, attribute) for t in record.targets), default=0
+        )
         if limit > allowed:
             yield column, f"{limit} is more than any target allows ({allowed})"
 
 
-def _errors(exc: ValidationError) -> list[Any]:
+def _validation_errors(exc: ValidationError) -> list[Any]:
     return list(exc.errors(include_url=False))
 
 
@@ -191,12 +201,14 @@
     message = error["msg"]
     message = f"{message[:1].lower()}{message[1:]}"
     if error["type"] == "extra_forbidden":
-        message = f"unknown column{_meant(column, COLUMNS)}"
+        message = f"unknown column{_suggestion(column, COLUMNS)}"
     elif "input" in error and not isinstance(error["input"], dict):
         message += f", not {error['input']!r}"
     return CellError(group=group, column=column, message=message)
 
 
-def _meant(name: str, known: Collection[str]) -> str:
-    near = difflib.get_close_matches(name, known, n=1, cutoff=NEAR_ENOUGH)
-    return f"; is {near[0]!r} meant?" if near else ""
+def _suggestion(name: str, known: Collection[str]) -> str:
+    matches = difflib.get_close_matches(
+        name, known, n=1, cutoff=SUGGESTION_CUTOFF
+    )
+    return f"; is {matches[0]!r} meant?" if matches else ""
--- a/bamboospring/table_commands.py
+++ b/bamboospring/table_commands.py
@@ -1,7 +1,7 @@
 """The `bamboospring table` commands.
 
-They speak to the operators' listener of any VM, which checks an edit and
-carries it to the platform. Exit codes are those of `bamboospring.cli`.
+They call the operators' listener of any VM, which validates an edit and stores
+it at the platform. Exit codes are those of `bamboospring.cli`.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 from bamboospring.table_files import locate
 from bamboospring.table_files import parse_rows
 from bamboospring.table_files import render_rows
+from bamboospring.table_text import format_table
 from bamboospring.table_text import print_change
 from bamboospring.table_text import print_report
-from bamboospring.table_text import text_table
 
 __all__ = ["app"]
 
-SHOWN_CHANGES = 20
+MAX_SHOWN_CHANGES = 20
 EXIT_CODES = {
     "accepted": ExitCode.DONE,
     "checked": ExitCode.DONE,
@@ -77,9 +77,11 @@
     ),
 ]
 Author = Annotated[
-    str, typer.Option(envvar="BAMBOOSPRING_AUTHOR", help="Who edits.")
+    str, typer.Option(envvar="BAMBOOSPRING_AUTHOR", help="Author of the edit.")
+]
+Comment = Annotated[
+    str, typer.Option(help="Reason for the edit, kept in the history.")
 ]
-Comment = Annotated[str, typer.Option(help="Why, for the history.")]
 Check = Annotated[
     bool, typer.Option("--check", help="Only check; store nothing.")
 ]
@@ -88,8 +90,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Session:
-    """Who edits through which VMs."""
+class _EditSession:
+    """The author, the client and the options of one edit command."""
 
     client: OperatorClient
     author: str
@@ -106,15 +108,17 @@
     authority: Authority = "",
     as_json: Json = False,
 ) -> None:
-    """Show the rows as accepted, or in an outage as in force at the VM."""
-    table = _get_table(_client(vm, token, authority))
+    """Show accepted rows, or those in force at the VM in an outage."""
+    table = _get_table(_new_client(vm, token, authority))
     rows = [row for row in table["rows"] if group in ("", row["group"])]
     if as_json:
         _print_json({**table, "rows": rows})
         return
     if table["source"] != "accepted":
-        _note(f"the platform does not answer; in force at {table['vm']}:")
-    typer.echo(text_table(rows))
+        _print_message(
+            f"the platform does not answer; rows in force at {table['vm']}:"
+        )
+    typer.echo(format_table(rows))
 
 
 @app.command("set")
@@ -131,7 +135,7 @@
     authority: Authority = "",
     if_version: Annotated[
         int | None,
-        typer.Option(help="The row's version that you saw, from show."),
+        typer.Option(help="Version of the row that show printed."),
     ] = None,
     author: Author = "",
     comment: Comment = "",
@@ -142,7 +146,9 @@
 
     `bamboospring table set ledger read_weights.old=30 read_weights.new=70`
     """
-    session = _session(vm, token, authority, author, comment, check, as_json)
+    session = _new_session(
+        vm, token, authority, author, comment, check, as_json
+    )
     if if_version is None:
         if_version = _row_version(_get_table(session.client), group)
     edit = {
@@ -150,7 +156,7 @@
         "cells": dict(_parse_cell(cell) for cell in cells),
         "if_version": if_version,
     }
-    _submit(session, [edit])
+    _submit_edits(session, [edit])
 
 
 @app.command()
@@ -164,8 +170,10 @@
     check: Check = False,
     as_json: Json = False,
 ) -> None:
-    """Replace the rows that a file names."""
-    session = _session(vm, token, authority, author, comment, check, as_json)
+    """Replace the rows that are named in a file."""
+    session = _new_session(
+        vm, token, authority, author, comment, check, as_json
+    )
     _apply_text(session, _read_file(file), str(file))
 
 
@@ -178,8 +186,8 @@
     author: Author = "",
     as_json: Json = False,
 ) -> None:
-    """Show what applying a file would change; nothing is stored."""
-    session = _session(vm, token, authority, author, "", True, as_json)
+    """Show what applying a file would change, without storing it."""
+    session = _new_session(vm, token, authority, author, "", True, as_json)
     _apply_text(session, _read_file(file), str(file))
 
 
@@ -193,11 +201,13 @@
     comment: Comment = "",
     as_json: Json = False,
 ) -> None:
-    """Edit rows in the editor that VISUAL or EDITOR names."""
-    session = _session(vm, token, authority, author, comment, False, as_json)
+    """Edit rows in the editor set by VISUAL or EDITOR."""
+    session = _new_session(
+        vm, token, authority, author, comment, False, as_json
+    )
     table = _get_table(session.client)
     if table["source"] != "accepted":
-        _fail("the platform does not answer; nothing can be edited now")
+        _exit_with_error("the platform does not answer; rows can't be edited")
     rows = [row for row in table["rows"] if group in ("", row["group"])]
     before = render_rows(rows)
     path = _temporary_file(before)
@@ -205,10 +215,12 @@
     after = path.read_text(encoding="utf-8")
     if after == before:
         path.unlink()
-        _note("nothing was changed")
+        _print_message("no row was changed")
         return
-    _note(f"your text is kept in {path} until it is accepted")
-    _apply_text(session, after, str(path), done=path.unlink)
+    _print_message(
+        f"the edited text is kept in {path} until the edit is accepted"
+    )
+    _apply_text(session, after, str(path), on_accepted=path.unlink)
 
 
 @app.command()
@@ -220,24 +232,26 @@
     as_json: Json = False,
 ) -> None:
     """Show accepted edits, newest first."""
-    client = _client(vm, token, authority)
-    changes = _ok(_call(client, "GET", f"/table/history?group={group}"))
+    client = _new_client(vm, token, authority)
+    changes = _checked_body(
+        _call_vm(client, "GET", f"/table/history?group={group}")
+    )
     if as_json:
         _print_json(changes)
         return
-    for change in changes[:SHOWN_CHANGES]:
+    for change in changes[:MAX_SHOWN_CHANGES]:
         print_change(change)
 
 
 # Edits.
 
 
-def _submit(
-    session: _Session,
+def _submit_edits(
+    session: _EditSession,
     edits: Sequence[Mapping[str, Any]],
-    place: Callable[[str, str], str] = lambda group, column: "",
+    format_location: Callable[[str, str], str] = lambda group, column: "",
 ) -> bool:
-    """Send an edit, print its report; exit unless it is accepted."""
+    """Submit an edit and print its report; exit unless it is accepted."""
     body = {
         "id": uuid.uuid4().hex,
         "author": session.author,
@@ -245,14 +259,14 @@
         "check_only": session.check_only,
         "edits": edits,
     }
-    answer = _call(session.client, "POST", "/table/edits", body)
+    answer = _call_vm(session.client, "POST", "/table/edits", body)
     report = answer.body
     if "verdict" not in report:
-        _fail(report.get("error", f"status {answer.status}"))
+        _exit_with_error(report.get("error", f"status {answer.status}"))
     if session.as_json:
         _print_json(report)
     else:
-        print_report(report, place)
+        print_report(report, format_location)
     code = EXIT_CODES[report["verdict"]]
     if code is not ExitCode.DONE:
         raise typer.Exit(code)
@@ -260,32 +274,34 @@
 
 
 def _apply_text(
-    session: _Session,
+    session: _EditSession,
     text: str,
-    name: str,
-    done: Callable[[], None] = lambda: None,
+    file_name: str,
+    on_accepted: Callable[[], None] = lambda: None,
 ) -> None:
     try:
-        data, edits = parse_rows(text, name=name)
+        data, edits = parse_rows(text, name=file_name)
     except SourceError as exc:
-        _fail(str(exc))
+        _exit_with_error(str(exc))
 
-    def place(group: str, column: str) -> str:
-        line, position = locate(data, group, column)
-        return f"{name}:{line}:{position}: "
+    def format_location(group: str, column: str) -> str:
+        line, character = locate(data, group, column)
+        return f"{file_name}:{line}:{character}: "
 
-    if _submit(session, edits, place):
-        done()
+    if _submit_edits(session, edits, format_location):
+        on_accepted()
 
 
 def _parse_cell(text: str) -> tuple[str, Any]:
     name, equals, value = text.partition("=")
     if not equals or not name:
-        raise typer.BadParameter(f"{text!r} is not of the form column=value")
+        raise typer.BadParameter(
+            f"{text!r} does not have the form column=value"
+        )
     try:
         return name, json_source.parse(value, name=name)
     except SourceError:
-        # Names of targets are more readable without brackets and quotes.
+        # Accepts a list of target names without brackets and quotes.
         return name, [part for part in value.split(",") if part]
 
 
@@ -299,13 +315,13 @@
 # Calls.
 
 
-def _client(vm: list[str], token: str, authority: str) -> OperatorClient:
-    # In the environment several addresses are separated by blanks.
+def _new_client(vm: list[str], token: str, authority: str) -> OperatorClient:
+    # BAMBOOSPRING_VM separates several addresses by blanks.
     vms = [part for text in vm for part in text.replace(",", " ").split()]
     return OperatorClient(vms=vms, token=token, authority=authority)
 
 
-def _session(
+def _new_session(
     vm: list[str],
     token: str,
     authority: str,
@@ -313,9 +329,9 @@
     comment: str,
     check_only: bool,
     as_json: bool,
-) -> _Session:
-    return _Session(
-        client=_client(vm, token, authority),
+) -> _EditSession:
+    return _EditSession(
+        client=_new_client(vm, token, authority),
         author=author or getpass.getuser(),
         comment=comment,
         check_only=check_only,
@@ -323,30 +339,32 @@
     )
 
 
-def _call(
+def _call_vm(
     client: OperatorClient, method: str, path: str, body: Any = None
 ) -> OperatorAnswer:
     try:
         return client.call(method, path, body)
     except Unreachable as exc:
-        _fail(str(exc), ExitCode.UNREACHABLE)
+        _exit_with_error(str(exc), ExitCode.UNREACHABLE)
     except CommandError as exc:
-        _fail(str(exc))
+        _exit_with_error(str(exc))
 
 
 def _get_table(client: OperatorClient) -> dict[str, Any]:
-    table: dict[str, Any] = _ok(_call(client, "GET", "/table"))
+    table: dict[str, Any] = _checked_body(_call_vm(client, "GET", "/table"))
     return table
 
 
-def _ok(answer: OperatorAnswer) -> Any:
+def _checked_body(answer: OperatorAnswer) -> Any:
     if answer.status != 200:
-        _fail(f"{answer.vm}: status {answer.status}: {answer.body}")
+        _exit_with_error(f"{answer.vm}: status {answer.status}: {answer.body}")
     return answer.body
 
 
-def _fail(message: str, code: ExitCode = ExitCode.MISUSED) -> NoReturn:
-    _note(message)
+def _exit_with_error(
+    message: str, code: ExitCode = ExitCode.MISUSED
+) -> NoReturn:
+    _print_message(message)
     raise typer.Exit(code)
 
 
@@ -357,7 +375,7 @@
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
-        _fail(f"{path} cannot be read: {exc}")
+        _exit_with_error(f"{path} cannot be read: {exc}")
 
 
 def _temporary_file(text: str) -> Path:
@@ -373,7 +391,7 @@
     try:
         subprocess.run([*shlex.split(editor), str(path)], check=True)
     except (OSError, subprocess.CalledProcessError) as exc:
-        _fail(f"the editor failed, nothing was changed: {exc}")
+        _exit_with_error(f"the editor failed; no row was changed: {exc}")
 
 
 # Printing.
@@ -383,5 +401,5 @@
     typer.echo(json.dumps(data, indent=2))
 
 
-def _note(text: str) -> None:
+def _print_message(text: str) -> None:
     typer.echo(f"bamboospring: {text}", err=True)
--- a/bamboospring/table_html.py
+++ b/bamboospring/table_html.py
@@ -1,8 +1,8 @@
-"""The table as a page to look at and edit in a browser.
+"""HTML page to view and edit the table in a browser.
 
-The page sends edits as JSON by script, with the version of the row that it
-shows. A form of another site can't send that, which keeps a signed-in
-operator's browser from being used to edit the table.
+A script on the page sends edits as JSON, with the version of each row shown. A
+form on another site can't send JSON, which protects against cross-site request
+forgery through the browser of a signed-in operator.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from bamboospring.table import COLUMNS
 
-__all__ = ["page"]
+__all__ = ["render_page"]
 
 HEADINGS = {
     "read_weights": "Read weights",
@@ -26,7 +26,7 @@
     "max_staleness_ms": "Staleness (ms)",
     "leaving_targets": "Leaving targets",
 }
-SHOWN_CHANGES = 30
+MAX_SHOWN_CHANGES = 30
 
 STYLE = """
 body { font: 14px/1.4 system-ui, sans-serif; margin: 2em; color: #222; }
@@ -108,7 +108,7 @@
 """
 
 
-def page(
+def render_page(
     table: Mapping[str, Any], history: Sequence[Mapping[str, Any]]
 ) -> str:
     """Return the page for a table and its history, both as JSON data."""
@@ -117,25 +117,25 @@
         "<!doctype html><html lang='en'><head><meta charset='utf-8'>",
         f"<title>Table</title><style>{STYLE}</style></head><body>",
         "<h1>Table</h1>",
-        _source_note(table),
+        _source_paragraph(table),
         _rows_table(table["rows"], editable),
         _form() if editable else "",
         "<h2>History</h2>",
-        _history_table(history[:SHOWN_CHANGES]),
+        _history_table(history[:MAX_SHOWN_CHANGES]),
         f"<script>{SCRIPT}</script>" if editable else "",
         "</body></html>",
     ]
     return "\n".join(parts)
 
 
-def _source_note(table: Mapping[str, Any]) -> str:
+def _source_paragraph(table: Mapping[str, Any]) -> str:
     vm = escape(table["vm"])
     if table["source"] == "accepted":
-        text = f"As accepted at the platform, read by {vm}."
+        text = f"Accepted rows at the platform, read by {vm}."
     else:
         text = (
             "The platform does not answer. These are the rows in force at "
-            f"{vm}; they can't be edited now."
+            f"{vm}; they can't be edited."
         )
     versions = ", ".join(
         f"{escape(shard)}: {version}"
--- a/bamboospring/table_pages.py
+++ b/bamboospring/table_pages.py
@@ -1,12 +1,12 @@
-"""The operators' HTTP interface to the table.
+"""The operators' HTTP API for the table.
 
     GET  /table                   accepted rows with their versions
-    GET  /table/in-force          what is in force at this VM
+    GET  /table/in-force          rows in force at this VM
     GET  /table/history?group=g   accepted changes, newest first
-    GET  /table/page              the same to look at and edit in a browser
-    POST /table/edits             an edit, answered with its report
+    GET  /table/page              HTML page to view and edit the table
+    POST /table/edits             submit an edit; the answer is its report
 
-The listener that calls `TablePages.handle` has checked the operator's token.
+The listener checks the operator's token before it calls `TablePages.handle`.
 """
 
 from __future__ import annotations
@@ -52,11 +52,11 @@
 
 __all__ = ["TablePages", "make_reach", "report_as_json"]
 
-PREFIX = "/table"
-REACH_TIMEOUT = 1.0
+PATH_PREFIX = "/table"
+PROBE_TIMEOUT = 1.0
 MAX_EDITS = 600
 
-STATUS = {
+VERDICT_STATUS = {
     Verdict.ACCEPTED: HTTPStatus.OK,
     Verdict.CHECKED: HTTPStatus.OK,
     Verdict.REFUSED: HTTPStatus.UNPROCESSABLE_ENTITY,
@@ -90,7 +90,7 @@
 
 
 class TablePages:
-    """Answer operators' requests under `/table`."""
+    """Handles operators' requests under `/table`."""
 
     def __init__(
         self,
@@ -104,55 +104,77 @@
         self._editor = editor
 
     def handle(self, req: Request, respond: Respond) -> bool:
-        """Answer a request, now or later; False if it is not for us."""
+        """Answer a request, now or later; return False for other paths."""
         url = urlsplit(req.path)
-        if url.path != PREFIX and not url.path.startswith(PREFIX + "/"):
+        if url.path != PATH_PREFIX and not url.path.startswith(
+            PATH_PREFIX + "/"
+        ):
             return False
         query = {key: text[-1] for key, text in parse_qs(url.query).items()}
-        match req.method, url.path.removeprefix(PREFIX):
+        match req.method, url.path.removeprefix(PATH_PREFIX):
             case "GET", "":
-                self._list(respond, self._table)
+                self._respond_with_list(respond, self._table_as_json)
             case "GET", "/in-force":
-                respond(_json(HTTPStatus.OK, self._table(None)))
+                respond(
+                    _json_response(HTTPStatus.OK, self._table_as_json(None))
+                )
             case "GET", "/history":
                 group = query.get("group", "")
-                self._list(respond, lambda found: _history(found, group))
+                self._respond_with_list(
+                    respond, lambda found: _history_as_json(found, group)
+                )
             case "GET", "/page":
-                self._page(respond)
+                self._respond_with_page(respond)
             case "POST", "/edits":
-                self._edit(req.body, respond)
+                self._submit_edit(req.body, respond)
             case _:
-                respond(_json(HTTPStatus.NOT_FOUND, {"error": "no such page"}))
+                respond(
+                    _json_response(
+                        HTTPStatus.NOT_FOUND, {"error": "no such page"}
+                    )
+                )
         return True
 
-    def _edit(self, body: bytes, respond: Respond) -> None:
+    def _submit_edit(self, body: bytes, respond: Respond) -> None:
         try:
             model = _EditModel.model_validate_json(body)
         except ValidationError as exc:
-            respond(_json(HTTPStatus.BAD_REQUEST, _explain(exc)))
+            respond(
+                _json_response(
+                    HTTPStatus.BAD_REQUEST, _validation_message(exc)
+                )
+            )
             return
 
-        def reported(report: EditReport) -> None:
-            respond(_json(STATUS[report.verdict], report_as_json(report)))
+        def on_report(report: EditReport) -> None:
+            respond(
+                _json_response(
+                    VERDICT_STATUS[report.verdict], report_as_json(report)
+                )
+            )
 
-        self._editor.submit(_request(model), reported)
+        self._editor.submit(_edit_request(model), on_report)
 
-    def _list(
+    def _respond_with_list(
         self,
         respond: Respond,
         render: Callable[[dict[int, StoredShard] | None], Any],
     ) -> None:
         def answered(result: Changes | Unavailable) -> None:
             if isinstance(result, Unavailable):
-                respond(_json(HTTPStatus.OK, render(None)))
+                respond(_json_response(HTTPStatus.OK, render(None)))
                 return
-            respond(_json(HTTPStatus.OK, render(_decode(result))))
+            respond(
+                _json_response(HTTPStatus.OK, render(_decode_shards(result)))
+            )
 
         self._platform.list("table", "edit", answered)
 
-    def _table(self, found: dict[int, StoredShard] | None) -> dict[str, Any]:
-        """Return the accepted rows, or in an outage those in force here."""
-        if found is None:
+    def _table_as_json(
+        self, shards: dict[int, StoredShard] | None
+    ) -> dict[str, Any]:
+        """Return accepted rows, or those in force at this VM in an outage."""
+        if shards is None:
             return {
                 "source": "in_force",
                 "vm": self._board.local_vm.name,
@@ -162,7 +184,7 @@
         return {
             "source": "accepted",
             "vm": self._board.local_vm.name,
-            "rows": _accepted_rows(found, self._board.group_names),
+            "rows": _accepted_rows(shards, self._board.group_names),
             "shards": self._versions_in_force(),
         }
 
@@ -178,17 +200,19 @@
         shards = sorted(self._board.table.items())
         return {str(number): shard.version for number, shard in shards}
 
-    def _page(self, respond: Respond) -> None:
-        # Imported here: only operators who look at the page need it.
-        from bamboospring.table_html import page
+    def _respond_with_page(self, respond: Respond) -> None:
+        # Imported here because it is needed only when the page is viewed.
+        from bamboospring.table_html import render_page
 
         def render(found: dict[int, StoredShard] | None) -> bytes:
-            return page(self._table(found), _history(found, "")).encode()
+            return render_page(
+                self._table_as_json(found), _history_as_json(found, "")
+            ).encode()
 
         def answered(result: Changes | Unavailable) -> None:
             found = None
             if isinstance(result, Changes):
-                found = _decode(result)
+                found = _decode_shards(result)
             respond(
                 Response(
                     body=render(found),
@@ -202,56 +226,58 @@
 def make_reach(
     reactor: Reactor,
 ) -> Callable[[Sequence[str], Callable[[set[str]], None]], None]:
-    """Return a function that tells which of some targets are silent."""
+    """Return a function that finds which targets do not answer a probe."""
 
-    def reach(
+    def probe_targets(
         addresses: Sequence[str], on_done: Callable[[set[str]], None]
     ) -> None:
         if not addresses:
             on_done(set())
             return
-        _Reach(reactor=reactor, addresses=addresses, on_done=on_done).start()
+        _TargetProbe(
+            reactor=reactor, addresses=addresses, on_complete=on_done
+        ).start()
 
-    return reach
+    return probe_targets
 
 
-class _Reach:
-    """One round of asking targets whether they are there."""
+class _TargetProbe:
+    """Probes some targets once and reports those without an answer."""
 
     def __init__(
         self,
         *,
         reactor: Reactor,
         addresses: Sequence[str],
-        on_done: Callable[[set[str]], None],
+        on_complete: Callable[[set[str]], None],
     ) -> None:
         self._clients = {
             address: HttpClient(reactor=reactor, address=address)
             for address in addresses
         }
-        self._on_done = on_done
-        self._silent: set[str] = set()
+        self._on_complete = on_complete
+        self._unresponsive: set[str] = set()
 
     def start(self) -> None:
         for address, client in list(self._clients.items()):
-            answered = partial(self._answered, address)
-            client.request("GET", "/probe", b"", REACH_TIMEOUT, answered)
+            answered = partial(self._on_answer, address)
+            client.request("GET", "/probe", b"", PROBE_TIMEOUT, answered)
 
-    def _answered(self, address: str, answer: HttpAnswer | HttpLost) -> None:
+    def _on_answer(self, address: str, answer: HttpAnswer | HttpLost) -> None:
         if isinstance(answer, HttpLost):
-            self._silent.add(address)
+            self._unresponsive.add(address)
         self._clients.pop(address).close()
         if not self._clients:
-            self._on_done(self._silent)
+            self._on_complete(self._unresponsive)
 
 
 def report_as_json(report: EditReport) -> dict[str, Any]:
-    """Return a report as operators get it."""
+    """Return a report as JSON data for operators."""
     return {
         "id": report.id,
         "verdict": report.verdict.value,
         "versions": {str(k): v for k, v in report.versions.items()},
-        "cells": [_cell(cell) for cell in report.cells],
+        "cells": [_cell_as_json(cell) for cell in report.cells],
         "errors": [
             {
                 "group": error.group,
@@ -260,12 +286,14 @@
             }
             for error in report.errors
         ],
-        "conflicts": [_conflict(conflict) for conflict in report.conflicts],
+        "conflicts": [
+            _conflict_as_json(conflict) for conflict in report.conflicts
+        ],
         "message": report.message,
     }
 
 
-def _request(model: _EditModel) -> EditRequest:
+def _edit_request(model: _EditModel) -> EditRequest:
     now = datetime.now(timezone.utc).isoformat(timespec="milliseconds")
     return EditRequest(
         id=model.id,
@@ -286,7 +314,7 @@
     )
 
 
-def _decode(changes: Changes) -> dict[int, StoredShard]:
+def _decode_shards(changes: Changes) -> dict[int, StoredShard]:
     shards = {}
     for item in changes.objects:
         stored = decode_stored(item.version, item.value)
@@ -296,10 +324,10 @@
 
 
 def _accepted_rows(
-    found: dict[int, StoredShard], names: set[str]
+    shards: dict[int, StoredShard], names: set[str]
 ) -> list[dict[str, Any]]:
     rows = {name: _row_as_json(TableRow(group=name), 0) for name in names}
-    for shard in found.values():
+    for shard in shards.values():
         for name, row in shard.rows.items():
             rows[name] = _row_as_json(row, shard.row_version(name))
     return [rows[name] for name in sorted(rows)]
@@ -309,19 +337,19 @@
     return {**encode_row(row), "version": version}
 
 
-def _history(
-    found: dict[int, StoredShard] | None, group: str
+def _history_as_json(
+    shards: dict[int, StoredShard] | None, group: str
 ) -> list[dict[str, Any]]:
     changes = [
         encode_change(change) | {"shard": number}
-        for number, shard in (found or {}).items()
+        for number, shard in (shards or {}).items()
         for change in shard.history
         if not group or any(row.group == group for row in change.rows)
     ]
     return sorted(changes, key=lambda change: change["at"], reverse=True)
 
 
-def _cell(cell: CellDiff) -> dict[str, Any]:
+def _cell_as_json(cell: CellDiff) -> dict[str, Any]:
     return {
         "group": cell.group,
         "column": cell.column,
@@ -330,7 +358,7 @@
     }
 
 
-def _conflict(conflict: RowConflict) -> dict[str, Any]:
+def _conflict_as_json(conflict: RowConflict) -> dict[str, Any]:
     row = conflict.row
     return {
         "group": conflict.group,
@@ -341,13 +369,13 @@
     }
 
 
-def _explain(exc: ValidationError) -> dict[str, Any]:
+def _validation_message(exc: ValidationError) -> dict[str, Any]:
     errors = []
     for error in exc.errors(include_url=False, include_input=False):
-        place = ".".join(str(part) for part in error["loc"])
-        errors.append(f"{place}: {error['msg']}")
+        field_path = ".".join(str(part) for part in error["loc"])
+        errors.append(f"{field_path}: {error['msg']}")
     return {"error": "; ".join(errors)}
 
 
-def _json(status: int, body: Any) -> Response:
+def _json_response(status: int, body: Any) -> Response:
     return Response(status=int(status), body=orjson.dumps(body))
--- a/bamboospring/table_text.py
+++ b/bamboospring/table_text.py
@@ -1,4 +1,4 @@
-"""The table's rows, reports and changes as text for a terminal."""
+"""Format the table's rows, reports and changes for a terminal."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 import typer
 
-__all__ = ["print_change", "print_report", "text_table"]
+__all__ = ["print_change", "print_report", "format_table"]
 
-COLUMNS = {
+HEADINGS = {
     "group": "group",
     "version": "version",
     "read_weights": "read weights",
@@ -22,18 +22,21 @@
     "max_staleness_ms": "staleness ms",
     "leaving_targets": "leaving targets",
 }
-CELLS = [name for name in COLUMNS if name not in ("group", "version")]
+DATA_COLUMNS = [name for name in HEADINGS if name not in ("group", "version")]
 
 
 def print_report(
-    report: Mapping[str, Any], place: Callable[[str, str], str]
+    report: Mapping[str, Any], format_location: Callable[[str, str], str]
 ) -> None:
-    """Print what became of an edit; `place` names where a cell stands."""
+    """Print the outcome of an edit.
+
+    `format_location` returns the place of a cell in the edited file.
+    """
     for error in report["errors"]:
-        where = place(error["group"], error["column"])
+        location = format_location(error["group"], error["column"])
         column = f", column {error['column']}" if error["column"] else ""
         typer.echo(
-            f"{where}row {error['group']}{column}: {error['message']}",
+            f"{location}row {error['group']}{column}: {error['message']}",
             err=True,
         )
     for conflict in report["conflicts"]:
@@ -41,7 +44,7 @@
     for cell in report["cells"]:
         typer.echo(
             f"{cell['group']}.{cell['column']}: "
-            f"{_short(cell['before'])} -> {_short(cell['after'])}"
+            f"{_format_cell(cell['before'])} -> {_format_cell(cell['after'])}"
         )
     versions = ", ".join(
         f"shard {shard} version {version}"
@@ -55,27 +58,27 @@
     group = conflict["group"]
     typer.echo(
         f"row {group} was at version {conflict['seen']} when you read it and "
-        f"is at {conflict['current']} now:",
+        f"is at version {conflict['current']} now:",
         err=True,
     )
     for change in conflict["changes"]:
-        typer.echo(f"  {_change_text(change, group)}", err=True)
-    typer.echo(f"  now {_short(conflict['row'])}", err=True)
+        typer.echo(f"  {_format_change(change, group)}", err=True)
+    typer.echo(f"  now {_format_cell(conflict['row'])}", err=True)
 
 
 def print_change(change: Mapping[str, Any]) -> None:
-    """Print one accepted edit, a line for each group."""
+    """Print one accepted edit, with one line for each group."""
     groups = [row["group"] for row in change["rows"]]
     for group in groups:
-        typer.echo(_change_text(change, group))
+        typer.echo(_format_change(change, group))
 
 
-def _change_text(change: Mapping[str, Any], group: str) -> str:
+def _format_change(change: Mapping[str, Any], group: str) -> str:
     cells = [
         text
         for row in change["rows"]
         if row["group"] == group
-        for text in _row_texts(row)
+        for text in _format_row_changes(row)
     ]
     comment = f" ({change['comment']})" if change["comment"] else ""
     return f"{change['at']} {change['author']}{comment}: {group} " + "; ".join(
@@ -83,25 +86,27 @@
     )
 
 
-def _row_texts(row: Mapping[str, Any]) -> list[str]:
+def _format_row_changes(row: Mapping[str, Any]) -> list[str]:
     before, after = row["before"], row["after"]
     if after is None:
         return ["row removed"]
     if before is None:
         return [
-            f"{name} {_short(after[name])}" for name in CELLS if after[name]
+            f"{name} {_format_cell(after[name])}"
+            for name in DATA_COLUMNS
+            if after[name]
         ]
     return [
-        f"{name} {_short(before[name])} -> {_short(after[name])}"
-        for name in CELLS
+        f"{name} {_format_cell(before[name])} -> {_format_cell(after[name])}"
+        for name in DATA_COLUMNS
         if before[name] != after[name]
     ]
 
 
-def text_table(rows: Sequence[Mapping[str, Any]]) -> str:
-    """Return the rows under their columns' names."""
-    lines = [list(COLUMNS.values())]
-    lines += [[_short(row[name]) for name in COLUMNS] for row in rows]
+def format_table(rows: Sequence[Mapping[str, Any]]) -> str:
+    """Return the rows as a table with aligned columns."""
+    lines = [list(HEADINGS.values())]
+    lines += [[_format_cell(row[name]) for name in HEADINGS] for row in rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return "\n".join(
         "  ".join(
@@ -111,7 +116,7 @@
     )
 
 
-def _short(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     match value:
         case None:
             return "-"
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,10 +1,10 @@
 Feature: An accepted edit is in force everywhere, promptly and for good
-  Nine real VM processes, the platform behind links of the fault proxy.
+  Real VM processes, with the platform behind links of the fault proxy.
 
   Scenario: Two operators edit the same cell at the same moment
-    # Both have read the row and both send their edit, through different VMs.
-    # One is accepted. The other's conditional update fails, its VM reads the
-    # row again, finds it changed and shows by whom; nothing is overwritten.
+    # Both have read the row and send their edits through different VMs. One is
+    # accepted. The other's conditional update fails; its VM reads the row
+    # again, finds it changed and reports by whom. Nothing is overwritten.
     Given a fleet of 3 VMs for operators
     When two operators race on the same cell 10 times
     Then in each race one edit is accepted and the other overtaken
@@ -12,40 +12,40 @@
     And the history holds the 10 accepted edits and no other
 
   Scenario: Two operators edit different rows of one shard
-    # The rows share an object at the platform, so one conditional update
-    # fails; but neither row has changed under its author, so that the VM
-    # tries again on top of the other's and both are accepted.
+    # The rows are in one object at the platform, so one conditional update
+    # fails. Neither row has changed since its author read it, so the VM retries
+    # on top of the other update, and both are accepted.
     Given a fleet of 3 VMs for operators
     When two operators race on different rows of one shard 10 times
     Then all 20 edits of the races are accepted
     And both rows hold the last edit of their operator
 
   Scenario: The platform's answer is lost after the edit has taken effect
-    # The update is stored, its answer never comes. The VM reads back, finds
-    # the edit in the history and reports it as accepted, once.
+    # The update is stored, but its answer is lost. The VM reads back, finds the
+    # edit in the history and reports it as accepted, once.
     Given a fleet of 3 VMs for operators
     When an operator edits a row and the platform's answer is lost
     Then the operator is told that the edit is accepted
     And the history holds the edit once
 
   Scenario: The answer is lost and the platform is down when read back
-    # The update is stored, its answer is lost and then the platform fails for
-    # three seconds. The VM may not report anything until it has read back.
+    # The update is stored, its answer is lost, and then the platform fails for
+    # three seconds. The VM must not report anything before it has read back.
     Given a fleet of 3 VMs for operators
     When an operator edits a row, the answer is lost and 3 s of outage follow
     Then the operator is told that the edit is accepted
     And the history holds the edit once
 
   Scenario: An edit that is found stored is accepted, whatever else fails
-    # The update's answer is lost. Read back the edit is in the history, but
-    # the group, read along with it, is not answered, until the patience for
-    # an edit that is not in doubt is over. The edit is whole: an operator who
-    # is told that a part of it is missing would look for what is not there.
+    # The update's answer is lost. The read back finds the edit in the history,
+    # but the read of the group at the same time is not answered before the
+    # retry timeout of an edit without unanswered updates. The edit is complete:
+    # an operator told that a part is missing would search for it in vain.
     Then an edit found stored is accepted while the group is not answered
 
   Scenario: An edit during an outage of the platform is refused as such
-    # Nothing can be stored, and nothing was sent that could still be. The
-    # operator is told within seconds that nothing has changed.
+    # Nothing can be stored, and no update that could still be stored was sent.
+    # The operator is told within seconds that nothing has changed.
     Given a fleet of 3 VMs for operators
     When an operator edits a row while the platform is down
     Then the operator is told that the platform is unavailable
@@ -69,19 +69,19 @@
     And an edit that sends work only to a target that is down is refused
 
   Scenario: An accepted edit is in force on all nine VMs
-    # One operator edits ten times through changing VMs. Each edit reaches
-    # every VM in at most 8 s (in a quiet fleet it takes a fraction of one).
+    # One operator edits ten times through changing VMs. Each edit reaches every
+    # VM within 8 s (in an idle fleet it takes a fraction of a second).
     Given a fleet of 9 VMs whose versions in force are observed
     When an operator makes 10 edits through changing VMs
     Then each was in force on all VMs within 8 s
     And no VM ever went back to a lower version
 
   Scenario: An edit stays in force when VMs freeze, restart and lag
-    # A VM sleeps through an edit and then wakes while the platform is down: it
-    # is an old peer with an old table. Another VM restarts in the outage and
-    # knows only what its peers tell. A third, which watches the platform for
-    # all, gets its answer of before the last edits late. None may bring an
-    # old version back, and all must come to the newest.
+    # A VM is frozen during an edit and resumes while the platform is down, with
+    # an old table. Another VM restarts in the outage and gets its state only
+    # from peers. A third, which watches the platform for the fleet, receives an
+    # answer late that is older than the last edits. None may bring an old
+    # version back, and all must get the newest.
     Given a fleet of 9 VMs whose versions in force are observed
     When an operator makes 2 edits through changing VMs
     And the answers of the platform to one watcher are held back
@@ -104,8 +104,8 @@
 
   Scenario: The primary shifts to the new site under load
     # An operator gives the new site the whole weight of writes. The steward
-    # hands the primary over; writes wait at their holders for the moment it
-    # takes, and no request and no transaction is cut.
+    # changes the primary. Writes wait at their holders until then, and no
+    # request and no transaction is cut.
     Given a fleet of 5 VMs under load
     When the weight of writes shifts from the old site to the new
     Then within 15 s the primary is at the new site
@@ -118,20 +118,20 @@
     And after each run with all faults over every process has every edit
 
   Scenario: Operators are told the truth in any order of answers
-    # Generated races of edits of one row over a platform that takes updates
-    # late, in any order, and loses answers, while targets come and go.
+    # Generated races of edits of one row over a platform that applies updates
+    # late, in any order, and loses answers, while targets fail and recover.
     Then in 1000 generated races every report is true in the end
 
   Scenario: Neighbours that have the same versions tell none
-    # What a fleet at rest costs: a digest each way, no versions, no question.
+    # The cost of an idle fleet: a digest each way, no versions, no requests.
     Given two VMs of which the first compares with the second
     When they have the same versions and the first compares
     Then no versions and no facts were sent
 
   Scenario Outline: A comparison brings what an announcement did not
-    # An edit is accepted and its announcement is lost. The caller sees the old
-    # weights at one VM until versions are compared. Only one of the two asks
-    # the other, so that its comparison must bring the news in both directions.
+    # An edit is accepted and its announcement is lost. Callers of one VM see the
+    # old weights until versions are compared. Only one of the two VMs asks the
+    # other, so its comparison must bring changes in both directions.
     Given two VMs of which the first compares with the second
     When <newer> without an announcement and the first compares
     Then both have the newest of everything
@@ -146,8 +146,8 @@
       | the second has nothing at all               |
 
   Scenario: A neighbour of an earlier release is told all versions
-    # Releases are not changed everywhere at once. One that names no digest
-    # compares the versions in the answer, and must find them there.
+    # During an upgrade a fleet has VMs of two releases. An older one sends no
+    # digest and compares the versions in the answer, which must contain them.
     Given two VMs of which the first compares with the second
     When a neighbour that knows no digest compares with the first
     Then the answer tells all versions
