--- a/features/operators.feature
+++ b/features/operators.feature
@@ -15,8 +15,8 @@
     And no group that does not exist has a series of its own
 
   Scenario: A VM that is lost is shown as silent, and the rest goes on
-    # What the operator sees: one VM is named silent, the exit code turns from
-    # 0 to 1, and the group still has its primary.
+    # One VM is shown as silent, the exit code changes from 0 to 1, and the
+    # group still has its primary.
     Given a small fleet for operators
     Then "bamboospring status" soon ends with 0
     When one VM of the fleet is killed
@@ -28,9 +28,9 @@
     Then "bamboospring status" soon shows it at term 2
 
   Scenario: Keys change without a restart
-    # The caller's session goes on: its token was signed with the old key, and
-    # a VM that has the new key as well takes it. A settings file with a fault
-    # changes nothing, so that a typing error can't lock everybody out.
+    # The caller's session continues: its token was signed with the old key,
+    # which VMs accept as well as the new one. An invalid settings file is
+    # ignored, so that a typing error can't lock out operators and callers.
     Given a small fleet for operators
     And a caller with a session
     When the fleet's token keys and operators' token are replaced on SIGHUP
@@ -46,8 +46,8 @@
     Then the entry and one holder log it under the same correlation id
 
   Scenario: Traffic between VMs is encrypted and strangers are refused
-    # A program with a certificate of another authority, or with none, gets no
-    # message through to a VM, while the fleet itself works.
+    # A program without a certificate of the fleet's authority can't send
+    # messages to a VM, while the fleet itself works.
     Given a small fleet for operators under TLS
     When a caller does 3 writes and 3 reads through every entry
     Then a stranger without the fleet's authority is refused by the peers' listener
@@ -57,12 +57,12 @@
     And a caller does 3 writes and 3 reads through every entry
 
   Scenario: Platform and targets are reached under TLS only
-    # What stands before the platform and the targets speaks TLS and takes only
-    # programs that the fleet's authority has signed. The VMs get reads done.
-    # Once it shows a certificate of another authority no new connection comes
-    # about: a VM whose connections are cut gets no read done, and one that is
-    # restarted gets nothing from the platform. Writes are left out: the
-    # stand-ins follow each other at the address that VMs know, in plain text.
+    # TLS proxies in front of the platform and the targets accept only clients
+    # with a certificate of the fleet's authority. The VMs get reads done. When
+    # the proxies show a certificate of another authority, no new connection is
+    # opened: a VM whose connections are cut gets no read done, and a restarted
+    # VM gets nothing from the platform. Writes are left out, because the
+    # stand-ins replicate in plain text at the addresses that VMs use.
     Given a small fleet whose platform and targets use TLS
     Then a caller gets 5 reads done through every entry
     And nobody without the fleet's authority is let through to them
--- a/features/report.feature
+++ b/features/report.feature
@@ -1,11 +1,10 @@
 Feature: The report says what was kept and what burns
 
-  The figures of the first scenarios were worked by hand; the working stands
-  beside them.
+  The figures of the first scenarios are calculated by hand in their comments.
 
   Scenario: Budgets, burn rates and causes agree with figures worked by hand
-    # 10 of 10,000 failed: 0.1 %, just what 99.9 % allows: rate 1.0. One hour
-    # is 1/720 of 30 days: 0.1389 % of the budget is spent.
+    # 10 of 10,000 failed: 0.1 %, which is exactly what 99.9 % allows: rate 1.0.
+    # One hour is 1/720 of 30 days: 0.1389 % of the budget is spent.
     # 300 of 9,990 done were slow: 3.003 %, three times what 99 % allows.
     # 5,000 of 8,000 reads at replicas: 62.5 %.
     Given a series of one VM and one group
@@ -32,7 +31,7 @@
     Then the report does not page
 
   Scenario: A restarted VM begins at zero and nothing is counted twice
-    # 100 before the restart; the process that follows has counted 30 since.
+    # 100 before the restart, and 30 by the new process since then.
     Given a series of one VM and one group
       | at | reads | started_at |
       | 0  | 900   | 1          |
@@ -46,8 +45,8 @@
     Then the tallies of any split of a series add up to the whole
 
   Scenario: A real failover shows as a gap with its causes
-    # A primary is killed under writes. Its callers see unknown answers or
-    # waits, then writes go on at the new one; the report shows the gap, and
+    # A primary is killed during writes. Callers get unknown outcomes or wait,
+    # until writes continue at the new primary. The report shows the gap, and
     # an objective of 1 ms as missed.
     Given a small fleet for operators
     And a settings file whose objective for the gap is 1 ms
--- a/features/steps/configuration_properties.py
+++ b/features/steps/configuration_properties.py
@@ -1,28 +1,31 @@
-"""Generated runs of the real components over small fakes of their outsides.
-
-Five processes and a platform. Messages and platform answers lie in one bag,
-from which any may be delivered, doubled or dropped at any time; processes
-restart and the platform fails. What is checked: at a live process no version
-ever falls; a process that has got ready by the platform's own table is not
-behind its earlier life; and when all faults are over, everybody has every
-edit.
-
-Only two processes watch the platform and none checks it by itself, so that
-the peers have to bring everything; the real numbers would hide their faults.
-
-Seen failing with each of these faults seeded (by hand, in a scratch copy):
-
-1.  spread.take_shard takes also older versions       a version falls
-2.  spread.take_shard takes only the next version     an edit never arrives
-3.  a fetch whose answer is lost is never ended       an edit never arrives
-4.  a watch goes on behind the platform's revision    an edit never arrives
-5.  facts are ready before the table is read          behind its past
-6.  facts are ready with the first neighbour's copy   behind its past
+"""Generated runs of the real components with a fake platform and fake peers.
+
+Five processes and a platform exchange messages and answers. Any of these may
+be delivered, duplicated or dropped at any time; processes restart and the
+platform fails. The checks are:
+
+* At a live process no version decreases.
+* A process that is ready with the platform's own table has at least the
+  versions that it had before its restart.
+* When all faults are over, every process has every edit.
+
+Only two processes watch the platform, and none polls it, so that all changes
+must spread through peers. With the default values the platform would deliver
+them too, and faults of the exchange between peers would not be seen.
+
+The runs fail with each of these faults seeded (by hand, in a scratch copy):
+
+1.  spread.take_shard accepts older versions          a version decreases
+2.  spread.take_shard accepts only the next version   an edit never arrives
+3.  a fetch without an answer never ends              an edit never arrives
+4.  a watch skips revisions of the platform           an edit never arrives
+5.  facts are ready before the table is read          older than before
+6.  facts are ready with the first neighbour's copy   older than before
 7.  a VM asks no watcher for its groups               a record never arrives
-8.  a watch is never free again after a failure       an edit never arrives
+8.  a watch stays busy after a failure                an edit never arrives
 9.  peers compare versions only at the start          an edit never arrives
-10. records told before the list of VMs are left      a record never arrives
-11. the digest of versions is always the same         an edit never arrives
+10. records received before the list of VMs are lost  a record never arrives
+11. the digest of versions is constant                an edit never arrives
 """
 
 from __future__ import annotations
@@ -65,16 +68,16 @@
 GROUPS = ("g1",)
 SHARDS = (0, 1)
 WATCHER_COUNT = 2
-NO_CHECKS = 1e6
+DISABLED_CHECK_INTERVAL = 1e6
 STEPS = 80
 HEAL_SECONDS = 20
-# Which message of the bag: mostly the oldest or the newest ones.
-PLACES = (0, 0, 0, 1, 2, 3, 5, 8, -1, -1, -1, -2, -3, -5)
+# Index of an undelivered message: mostly one of the oldest or the newest.
+MESSAGE_INDEXES = (0, 0, 0, 1, 2, 3, 5, 8, -1, -1, -1, -2, -3, -5)
 converged_runs = 0
 
 
 class started(Event):
-    """What the manager fires when it begins to run."""
+    """Event that the manager fires when it starts."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -89,7 +92,7 @@
 
 
 class Clock:
-    """The time of all processes and their timers."""
+    """Simulated time of all processes, and their timers."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -97,13 +100,13 @@
         self._order = itertools.count()
 
     def call_at(self, when: float, callback: Callable[[], None]) -> FakeTimer:
-        """Call back when the time has come."""
+        """Call back at a time."""
         timer = FakeTimer(callback=callback)
         heapq.heappush(self._timers, (when, next(self._order), timer))
         return timer
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time and run the timers that are due."""
         end = self.now + seconds
         while self._timers and self._timers[0][0] <= end:
             when, _, timer = heapq.heappop(self._timers)
@@ -114,25 +117,25 @@
 
 
 class FakeReactor:
-    """The reactor of one life of a process; a dead one calls nobody."""
+    """Reactor of one process; it calls nothing after the process ends."""
 
     def __init__(self, clock: Clock) -> None:
         self.alive = True
         self._clock = clock
 
     def now(self) -> float:
-        """Return the time."""
+        """Return the simulated time."""
         return self._clock.now
 
     def call_later(
         self, delay: float, callback: Callable[[], None]
     ) -> FakeTimer:
-        """Call back after a delay, if still alive."""
+        """Call back after a delay, unless the process has ended."""
         when = self._clock.now + delay
         return self._clock.call_at(when, self.guard(callback))
 
     def guard(self, callback: Callable[..., None]) -> Callable[..., None]:
-        """Return a callback that does nothing after death."""
+        """Return a callback that does nothing after the process ends."""
 
         def call(*args: Any) -> None:
             if self.alive:
@@ -142,7 +145,7 @@
 
 
 class FakePeers:
-    """Messages between processes, by way of the world's bag."""
+    """Sends messages to other processes through `World.undelivered`."""
 
     def __init__(self, world: World, name: str, reactor: FakeReactor) -> None:
         self.handlers: dict[str, Callable[[Any, Any], None]] = {}
@@ -158,10 +161,10 @@
         self.handlers[which] = callback
 
     def send(self, address: str, message: Any) -> None:
-        """Put a message into the bag."""
+        """Add a message to the undelivered ones."""
         message.id = 0
         data = message.to_bytes()
-        self._put(lambda: self._arrive(address, data, None))
+        self._put(lambda: self._deliver(address, data, None))
 
     def ask(
         self,
@@ -170,7 +173,7 @@
         timeout: float,
         on_answer: Callable[[Any], None],
     ) -> None:
-        """Put a question into the bag; its answer goes there too."""
+        """Add a request to the undelivered messages, and later its answer."""
         message.id = next(self._ids)
         data = message.to_bytes()
         open_ = [True]
@@ -189,13 +192,13 @@
             self._put(deliver)
 
         self.reactor.call_later(timeout, lambda: answered(PeerLost(sent=True)))
-        self._put(lambda: self._arrive(address, data, reply))
+        self._put(lambda: self._deliver(address, data, reply))
 
     def _put(self, deliver: Callable[[], None]) -> None:
         if not self._world.blackout:
-            self._world.bag.append(deliver)
+            self._world.undelivered.append(deliver)
 
-    def _arrive(
+    def _deliver(
         self, address: str, data: bytes, reply: Callable[[bytes], None] | None
     ) -> None:
         process = self._world.processes.get(address)
@@ -213,9 +216,10 @@
 
 
 class FakePlatform:
-    """Calls of one process to the platform.
+    """Platform client of one process.
 
-    What an answer says is as of the call; it may be delivered much later.
+    An answer has the state at the time of the call, and may be delivered much
+    later.
     """
 
     def __init__(self, world: World, reactor: FakeReactor) -> None:
@@ -250,7 +254,7 @@
     def vms(
         self, on_result: Any, *, purpose: str = "vms", after: int = 0
     ) -> None:
-        """Read the list of VMs, left out if the asker has it."""
+        """Read the list of VMs; it is omitted if the caller has it."""
         vms = None if after >= 1 else self._world.vms
         self._answer(VmsFound(revision=1, vms=vms), on_result)
 
@@ -276,13 +280,13 @@
         if self._world.outage:
             self._reactor.call_later(0.05, lambda: deliver(lost))
             return
-        self._world.bag.append(lambda: deliver(result))
-        # An answer that is dropped ends as a timeout.
+        self._world.undelivered.append(lambda: deliver(result))
+        # A dropped answer ends as a timeout.
         self._reactor.call_later(2.0, lambda: deliver(lost))
 
 
 class Process:
-    """One life of a process: the real component over fakes."""
+    """A process until its restart: the real component over fakes."""
 
     def __init__(self, world: World, name: str) -> None:
         self.reactor = FakeReactor(world.clock)
@@ -311,7 +315,7 @@
             self._root.flush()
 
     def versions(self) -> dict[str, int]:
-        """Return the versions in force by the name of their object."""
+        """Return the versions in force by object name."""
         found = {
             f"table/{number}": shard.version
             for number, shard in self.board.table.items()
@@ -322,19 +326,19 @@
 
 
 class World:
-    """All processes, the platform and the bag of messages."""
+    """All processes, the platform and the undelivered messages."""
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.bag: list[Callable[[], None]] = []
+        self.undelivered: list[Callable[[], None]] = []
         self.outage = False
         self.blackout = False
         self.revision = 0
         self.objects: dict[tuple[str, str], tuple[int, Any]] = {}
         self.revisions: dict[tuple[str, str], int] = {}
         self.processes: dict[str, Process] = {}
-        self.earlier: dict[str, dict[str, int]] = {}
-        self.floors: dict[str, dict[str, int]] = {}
+        self.versions_before_restart: dict[str, dict[str, int]] = {}
+        self.min_versions: dict[str, dict[str, int]] = {}
         self.vms = tuple(
             {
                 "name": name,
@@ -367,16 +371,17 @@
         self.revisions[kind, name] = self.revision
 
     def restart(self, name: str) -> None:
-        """End a process and start it again."""
+        """Stop a process and start it again."""
         old = self.processes[name]
         old.reactor.alive = False
-        self.earlier[name] = old.highest
-        # Whoever else was to give an answer may now have nothing to give.
-        self.floors = {name: self._floor_without(name)}
+        self.versions_before_restart[name] = old.highest
+        # Drops minimums of other processes: the restarted one may have been
+        # the only peer that had those versions.
+        self.min_versions = {name: self._min_versions_without(name)}
         self.processes[name] = Process(self, name)
 
-    def _floor_without(self, name: str) -> dict[str, int]:
-        """Return the table versions that all other processes have."""
+    def _min_versions_without(self, name: str) -> dict[str, int]:
+        """Return the minimum table versions of all other processes."""
         others = [
             process.versions()
             for other, process in self.processes.items()
@@ -390,28 +395,28 @@
         }
 
     def settle(self) -> None:
-        """Dispatch events everywhere, then check what must always hold."""
+        """Dispatch all events, then check the invariants."""
         for name, process in self.processes.items():
             process.settle()
-            self._check(name, process)
+            self._check_versions(name, process)
 
-    def calm(self, tenths: int) -> None:
-        """Let tenths of a second pass in which no message is lost."""
+    def run_without_loss(self, tenths: int) -> None:
+        """Run for tenths of a second without losing a message."""
         for _ in range(tenths):
             self.clock.advance(0.1)
             self.settle()
-            while self.bag:
-                self.bag.pop(0)()
+            while self.undelivered:
+                self.undelivered.pop(0)()
                 self.settle()
 
     def heal(self) -> None:
-        """Let time pass without any fault."""
+        """Run for some time without any fault."""
         self.outage = False
         self.blackout = False
-        self.calm(HEAL_SECONDS * 10)
+        self.run_without_loss(HEAL_SECONDS * 10)
 
     def check_all_equal(self) -> None:
-        """Check that everybody has every edit that concerns it."""
+        """Check that every process has every edit that it needs."""
         for name, process in self.processes.items():
             assert not process.board.starting, name
             found = process.versions()
@@ -422,25 +427,25 @@
                     assert found.get(label) == version, (name, label, found)
             assert process.board.group_names == set(GROUPS), name
 
-    def _check(self, name: str, process: Process) -> None:
+    def _check_versions(self, name: str, process: Process) -> None:
         for label, version in process.versions().items():
             known = process.highest.get(label, 0)
             assert version >= known, f"{name} {label} {known} to {version}"
             process.highest[label] = version
         if process.board.starting:
             return
-        pasts = [self.floors.pop(name, {})]
+        pasts = [self.min_versions.pop(name, {})]
         if process.facts.table_from_platform:
-            pasts.append(self.earlier.pop(name, {}))
+            pasts.append(self.versions_before_restart.pop(name, {}))
         for past in pasts:
             for label, version in past.items():
                 now = process.versions().get(label, 0)
                 behind = label.startswith("table/") and now < version
-                assert not behind, f"{name} {label} behind its past"
+                assert not behind, f"{name} {label} older than before"
 
 
-PLACE = strategies.sampled_from(PLACES)
-DELIVER = strategies.tuples(strategies.just("deliver"), PLACE)
+MESSAGE_INDEX = strategies.sampled_from(MESSAGE_INDEXES)
+DELIVER = strategies.tuples(strategies.just("deliver"), MESSAGE_INDEX)
 SOME = strategies.tuples(strategies.just("some"), strategies.integers(1, 12))
 EDIT = strategies.tuples(strategies.just("table"), strategies.just(0))
 STEP = strategies.one_of(
@@ -450,8 +455,8 @@
     SOME,
     EDIT,
     EDIT,
-    strategies.tuples(strategies.just("drop"), PLACE),
-    strategies.tuples(strategies.just("twice"), PLACE),
+    strategies.tuples(strategies.just("drop"), MESSAGE_INDEX),
+    strategies.tuples(strategies.just("twice"), MESSAGE_INDEX),
     strategies.tuples(
         strategies.just("table"), strategies.sampled_from(SHARDS)
     ),
@@ -469,7 +474,7 @@
 
 
 def run_step(world: World, what: str, value: Any) -> None:
-    """Do one generated step."""
+    """Run one generated step."""
     match what:
         case "table" | "group":
             world.edit(what, str(value))
@@ -480,26 +485,26 @@
         case "outage":
             world.outage = value
         case "calm":
-            world.calm(value)
+            world.run_without_loss(value)
         case "blackout":
             world.blackout = value
         case "some":
-            for _ in range(min(value, len(world.bag))):
-                world.bag.pop(0)()
+            for _ in range(min(value, len(world.undelivered))):
+                world.undelivered.pop(0)()
                 world.settle()
-        case _ if world.bag:
-            place = min(value, len(world.bag) - 1)
-            place = max(place, -len(world.bag))
-            message = world.bag[place]
+        case _ if world.undelivered:
+            index = min(value, len(world.undelivered) - 1)
+            index = max(index, -len(world.undelivered))
+            message = world.undelivered[index]
             if what != "twice":
-                del world.bag[place]
+                del world.undelivered[index]
             if what != "drop":
                 message()
     world.settle()
 
 
 def check_spread(runs: int) -> None:
-    """Run that many generated runs; raise AssertionError on a fault."""
+    """Run `runs` generated runs; raise AssertionError on a fault."""
 
     @settings(
         max_examples=runs,
@@ -521,6 +526,8 @@
 
     with (
         mock.patch.object(rendezvous, "PLATFORM_WATCHER_COUNT", WATCHER_COUNT),
-        mock.patch.object(platform_watch, "SHORTEST_CHECK", NO_CHECKS),
+        mock.patch.object(
+            platform_watch, "SHORTEST_CHECK", DISABLED_CHECK_INTERVAL
+        ),
     ):
         run()
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -30,10 +30,10 @@
 from bamboospring.testing.fleet import wait_until
 
 SHARD = shard_of(GROUP)
-FORCE_SECONDS = 8.0
+IN_FORCE_SECONDS = 8.0
 
 
-def history(context: Any) -> list[dict[str, Any]]:
+def read_history(context: Any) -> list[dict[str, Any]]:
     operator = Operator(fleet=context.fleet, vm="vm-1")
     changes = operator.call("GET", f"/table/history?group={GROUP}")
     return list(changes)
@@ -76,7 +76,7 @@
     bo = Operator(fleet=context.fleet, vm="vm-2", name="bo")
     context.races = []
     for _ in range(count):
-        # Different from what the row has, or the edit would change nothing.
+        # Both values differ from the row, so that both edits change it.
         row = ana.row(GROUP)
         seen = row["version"]
         first, second = {1: (2, 3), 2: (3, 1)}.get(row["max_slots"], (1, 2))
@@ -96,7 +96,7 @@
 
 
 @then("each loser is shown the winner's change")
-def then_shown(context: Any) -> None:
+def then_loser_sees_change(context: Any) -> None:
     for reports in context.races:
         winner, loser = sorted(reports, key=lambda r: r["verdict"])
         (conflict,) = loser["conflicts"]
@@ -116,7 +116,7 @@
         if report["verdict"] == "accepted"
     }
     assert len(accepted) == count
-    assert {change["id"] for change in history(context)} == accepted
+    assert {change["id"] for change in read_history(context)} == accepted
 
 
 @when("two operators race on different rows of one shard {count:d} times")
@@ -177,7 +177,7 @@
     "follow"
 )
 def when_lost_and_outage(context: Any, seconds: int) -> None:
-    # The link swallows the answer; the outage starts before it is read back.
+    # The answer is lost, and the outage starts before the read that follows.
     fleet = context.fleet
     fleet.set_platform_faults(slow_ms=300)
     worker = threading.Thread(target=edit_slots, args=(context,))
@@ -219,8 +219,8 @@
 
 
 @then("the history holds the edit once")
-def then_once(context: Any) -> None:
-    ids = [change["id"] for change in history(context)]
+def then_edit_stored_once(context: Any) -> None:
+    ids = [change["id"] for change in read_history(context)]
     assert ids == [context.report["id"]], ids
     assert stored_version(context) == 1
 
@@ -303,24 +303,24 @@
         report = operator.edit_accepted(GROUP, max_staleness_ms=context.turn)
         context.edits.append(max(report["versions"].values()))
         context.observer.wait_in_force(
-            SHARD, context.edits[-1], names, FORCE_SECONDS
+            SHARD, context.edits[-1], names, IN_FORCE_SECONDS
         )
 
 
 @then("each was in force on all VMs within 8 s")
 def then_in_force(context: Any) -> None:
-    # Waiting for each edit has failed already if it took longer.
+    # The step that makes the edits fails if one takes longer.
     assert context.edits == list(range(1, len(context.edits) + 1))
 
 
 @then("no VM ever went back to a lower version")
-def then_no_fall(context: Any) -> None:
-    # Look on for a while: an old version could still be on its way.
+def then_no_regression(context: Any) -> None:
+    # Takes more samples, because an old version could still be in transit.
     enough = context.observer.samples + 20 * len(context.fleet.vms)
     wait_until(
         lambda: context.observer.samples >= enough,
         seconds=30,
-        what="more looks at the versions in force",
+        what="more samples of the versions in force",
     )
     context.observer.stop()
     assert context.observer.regressions == [], context.observer.regressions
@@ -328,7 +328,7 @@
 
 @when("the answers of the platform to one watcher are held back")
 def when_held_back(context: Any) -> None:
-    context.watcher = watchers(context.fleet)[0]
+    context.watcher = platform_watchers(context.fleet)[0]
     context.away = [context.watcher]
     context.fleet.link(
         f"platform:{context.watcher}", mode="freeze", direction="to_client"
@@ -337,7 +337,7 @@
 
 @when("another VM is frozen")
 def when_frozen(context: Any) -> None:
-    context.frozen, context.restarted = others(context)[:2]
+    context.frozen, context.restarted = unaffected_vms(context)[:2]
     context.away.append(context.frozen)
     context.fleet.freeze(context.frozen)
 
@@ -356,8 +356,8 @@
     fleet.restart(context.restarted)
 
 
-def watchers(fleet: Fleet) -> list[str]:
-    """Return the VMs that watch the platform for all."""
+def platform_watchers(fleet: Fleet) -> list[str]:
+    """Return the VMs that watch the platform for the whole fleet."""
     vms = [
         Vm(
             name=vm.name,
@@ -370,13 +370,13 @@
     return [vm.name for vm in choose_platform_watchers(vms)]
 
 
-def others(context: Any) -> list[str]:
-    """Return the VMs that nothing has been done to."""
+def unaffected_vms(context: Any) -> list[str]:
+    """Return the VMs that no fault was applied to."""
     return [name for name in context.fleet.vms if name not in context.away]
 
 
 def add_seeds(fleet: Fleet, vm: str) -> None:
-    """Tell a VM its peers, whose addresses were unknown at the start."""
+    """Add the addresses of all other VMs to a VM's settings."""
     path = fleet.directory / f"{vm}.json"
     settings = json.loads(path.read_text())
     seeds = [other.peers for other in fleet.vms.values() if other.name != vm]
@@ -394,7 +394,7 @@
     last = context.edits[-1]
     names = list(context.fleet.vms)
     context.observer.wait_in_force(SHARD, last, names, seconds)
-    # The observer remembers what was in force before; ask afresh as well.
+    # The observer also counts earlier samples, so each VM is queried again.
     for name in names:
         operator = Operator(fleet=context.fleet, vm=name)
         wait_until(
@@ -444,7 +444,7 @@
 
 
 @then("no request of the load was cut")
-def then_not_cut(context: Any) -> None:
+def then_no_failures(context: Any) -> None:
     context.load.stop()
     assert context.load.failures == [], context.load.failures[:10]
     assert context.load.done > 100 and context.load.transactions > 10
@@ -454,20 +454,20 @@
 def then_new_site(context: Any) -> None:
     fleet = context.fleet
     sites = {target.name: target.site for target in fleet.members(GROUP)}
-    before = {name: executed(fleet, name) for name in sites}
+    before = {name: executed_count(fleet, name) for name in sites}
     for at in range(30):
         caller = Caller(entries=fleet.entries(), entry_index=at)
         answer = caller.read(GROUP, "SELECT 1", staleness_ms=5000)
         assert answer.done, answer
     served = {
-        name: executed(fleet, name) - before[name]
+        name: executed_count(fleet, name) - before[name]
         for name, site in sites.items()
         if site == "old"
     }
     assert sum(served.values()) == 0, served
 
 
-def executed(fleet: Any, name: str) -> int:
+def executed_count(fleet: Any, name: str) -> int:
     return int(fleet.counters(name)["executed"])
 
 
@@ -481,16 +481,16 @@
 
 @then("after each run with all faults over every process has every edit")
 def then_converges(context: Any) -> None:
-    # Checked at the end of each of the runs above.
+    # The runs of the step before check this at their end.
     assert configuration_properties.converged_runs > 0
 
 
 @then("in {count:d} generated races every report is true in the end")
-def then_true(context: Any, count: int) -> None:
+def then_reports_true(context: Any, count: int) -> None:
     editor_properties.check_edits(runs=count)
 
 
 @then("an edit found stored is accepted while the group is not answered")
 def then_accepted_when_read_back(context: Any) -> None:
-    report = editor_properties.told_when_read_back()
+    report = editor_properties.report_when_read_back()
     assert report.verdict is Verdict.ACCEPTED, report
--- a/features/steps/configuration_support.py
+++ b/features/steps/configuration_support.py
@@ -1,4 +1,4 @@
-"""Operators, and observers of what is in force, for several features."""
+"""Operators, background load and fleets for several features."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
     lag_ms: int = 0,
     **changes: Any,
 ) -> Fleet:
-    """Start a fleet behind links that ends with the scenario."""
-    estate: Topology = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
+    """Start a fleet behind fault links; it is closed after the scenario."""
+    topology: Topology = dataclasses.replace(SMALL, schema=SCHEMA, **changes)
     fleet = Fleet(
-        topology=estate,
+        topology=topology,
         links=True,
         vms=vms,
         settings=settings or {},
@@ -68,12 +68,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Load:
-    """Callers that work all the time: reads, writes and transactions.
+    """Callers that continuously read, write and run transactions.
 
-    Each is a session of its own that roams from entry to entry. Everything
-    that was not done is kept in `failures`. With `hold` only one caller runs
-    transactions, and each stays open for so many seconds: a transaction
-    keeps all other writers waiting.
+    Each caller has its own session and changes its entry after every turn.
+    Every answer other than done is added to `failures`. With `hold` only one
+    caller runs transactions, and each stays open for `hold` seconds: a
+    transaction blocks all other writers.
     """
 
     fleet: Fleet
@@ -89,7 +89,7 @@
     _threads: list[threading.Thread] = field(default_factory=list)
 
     def start(self) -> "Load":
-        """Begin."""
+        """Start the callers."""
         for number in range(self.callers):
             thread = threading.Thread(
                 target=self._work, args=(number,), daemon=True
@@ -99,13 +99,13 @@
         return self
 
     def stop(self) -> None:
-        """Finish what is under way."""
+        """Wait until all statements in progress are finished."""
         self._stop.set()
         for thread in self._threads:
             thread.join(15)
 
     def _work(self, number: int) -> None:
-        # The very list, if one is given: it changes as VMs come and go.
+        # Not a copy: a given list is updated as VMs are added and removed.
         entries = self.entries or self.fleet.entries()
         caller = Caller(
             entries=entries, name=f"load-{number}", entry_index=number
@@ -113,28 +113,32 @@
         for turn in itertools.count():
             if self._stop.wait(self.pause):
                 break
-            # A connection to a VM that has left the balancer's list is not
-            # kept for its return: by then its other end is another process.
+            # Closes connections to VMs that the balancer no longer lists. When
+            # such a VM returns, it is another process.
             caller.close_connections_except(list(entries))
             caller.roam()
             try:
-                self._one(caller, turn, self.hold == 0 or number == 0)
+                self._run_statement(
+                    caller, turn, self.hold == 0 or number == 0
+                )
             except ConnectionError as exc:
                 self.failures.append(f"connect: {exc!r}")
         caller.close()
 
-    def _one(self, caller: Caller, turn: int, transacts: bool) -> None:
+    def _run_statement(
+        self, caller: Caller, turn: int, transacts: bool
+    ) -> None:
         if turn % 5 == 4 and transacts:
-            self._transfer(caller)
+            self._run_transaction(caller)
         elif turn % 5 == 0:
             insert = "INSERT INTO entries (body) VALUES (?)"
-            self._note("write", caller.write(GROUP, insert, ["x"]))
+            self._record_answer("write", caller.write(GROUP, insert, ["x"]))
         else:
-            self._note("read", caller.read(GROUP, "SELECT 1"))
+            self._record_answer("read", caller.read(GROUP, "SELECT 1"))
 
-    def _transfer(self, caller: Caller) -> None:
+    def _run_transaction(self, caller: Caller) -> None:
         begun = caller.begin(GROUP)
-        if not self._note("begin", begun):
+        if not self._record_answer("begin", begun):
             return
         time.sleep(self.hold)
         handle = begun.transaction
@@ -143,14 +147,14 @@
             "UPDATE balances SET amount = amount + 1 WHERE name = 'b'",
         ):
             step = caller.statement(GROUP, handle, sql)
-            if not self._note("statement", step):
+            if not self._record_answer("statement", step):
                 return
             handle = step.transaction
         caller.roam()
-        if self._note("commit", caller.commit(GROUP, handle)):
+        if self._record_answer("commit", caller.commit(GROUP, handle)):
             self.transactions += 1
 
-    def _note(self, what: str, answer: Any) -> bool:
+    def _record_answer(self, what: str, answer: Any) -> bool:
         self.slowest = max(self.slowest, answer.seconds)
         if answer.done:
             self.done += 1
@@ -164,7 +168,7 @@
 def run_table_command(
     fleet: Fleet, vm: str, *args: str, **env: str
 ) -> subprocess.CompletedProcess[str]:
-    """Run `bamboospring table ...` as an operator would."""
+    """Run `bamboospring table ...` as an operator."""
     return subprocess.run(
         [sys.executable, "-m", "bamboospring", "table", *args],
         env={
@@ -181,7 +185,7 @@
 
 
 def same_shard_names(group: str, count: int) -> list[str]:
-    """Return names of groups that share the table shard of a group."""
+    """Return names of groups in the same table shard as a group."""
     names = (f"{group}-{number}" for number in itertools.count())
     shared = (name for name in names if shard_of(name) == shard_of(group))
     return list(itertools.islice(shared, count))
--- a/features/steps/editor_properties.py
+++ b/features/steps/editor_properties.py
@@ -1,23 +1,24 @@
-"""Generated races of edits over a platform that loses and delays.
-
-What an operator is told must be true when all is over: an accepted edit is in
-the history, a refused, overtaken or unavailable one never was, and nobody has
-overwritten what he had not seen.
-
-Seen failing with each of these faults seeded (by hand, in a scratch copy):
-
-1. an update in doubt is not settled before checking  refused, and stored
-2. an unanswered update is reported at once           unavailable, and stored
-3. the version that the author saw is ignored         accepted, not stored
-4. the own change is not recognized when read back    overtaken, and stored
-5. it is forgotten that an update is in doubt         unavailable, and stored
-6. a conflict is taken for somebody else's            overtaken, and stored
-7. any read settles an update in doubt                unavailable, and stored
-8. the own change is noted only after all reads       overtaken, and stored
-
-The last was no seeded fault: these runs found it in the code. They did not
-find that an edit read back as stored was called partly accepted when another
-read had failed with it; `told_when_read_back` replays that order.
+"""Generated races of edits over a platform that delays and loses answers.
+
+At the end every report must be true: an accepted edit is in the history, a
+refused, overtaken or unavailable edit never was, and no edit has overwritten a
+version that its author had not read.
+
+The runs fail with each of these faults seeded (by hand, in a scratch copy):
+
+1. an unsettled update is not settled before checks   refused, and stored
+2. an unanswered update is reported immediately       unavailable, and stored
+3. the version that the author read is ignored        accepted, not stored
+4. the edit itself is not recognized when read back   overtaken, and stored
+5. an unanswered update is not recorded               unavailable, and stored
+6. a conflict is attributed to another author         overtaken, and stored
+7. any read settles an unanswered update              unavailable, and stored
+8. the edit is marked as stored only after all reads  overtaken, and stored
+
+The last fault was in the code and was found by these runs. They do not find
+another one: an edit read back as stored was reported as partly accepted if
+another read failed at the same time. `report_when_read_back` replays that
+order.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
 from bamboospring.table_editor import TableEditor
 from bamboospring.table_editor import Verdict
 
-__all__ = ["check_edits", "told_when_read_back"]
+__all__ = ["check_edits", "report_when_read_back"]
 
 GROUP = "ledger"
 STEPS = 50
@@ -60,11 +61,11 @@
 }
 
 
-class LatePlatform:
-    """Takes updates in any order and loses any answer."""
+class DelayingPlatform:
+    """A platform that applies updates in any order and may lose answers."""
 
     def __init__(self, clock: Clock) -> None:
-        self.bag: list[Callable[[bool], None]] = []
+        self.undelivered: list[Callable[[bool], None]] = []
         self.updates: set[Callable[[bool], None]] = set()
         self.version = 0
         self.value: Any = None
@@ -72,7 +73,7 @@
         self._reactor = FakeReactor(clock)
 
     def get(self, kind: str, name: str, purpose: str, on_result: Any) -> None:
-        """Read an object; what it is when the call arrives."""
+        """Read an object as it is when the call arrives."""
         once = self._once(on_result, maybe_applied=False)
 
         def arrive(answered: bool) -> None:
@@ -89,7 +90,7 @@
             if answered:
                 once(result)
 
-        self.bag.append(arrive)
+        self.undelivered.append(arrive)
 
     def put(
         self,
@@ -100,7 +101,7 @@
         purpose: str,
         on_result: Any,
     ) -> None:
-        """Store conditionally when the call arrives, however late."""
+        """Store conditionally when the call arrives, which may be late."""
         once = self._once(on_result, maybe_applied=True)
 
         def arrive(answered: bool) -> None:
@@ -115,7 +116,7 @@
             if answered:
                 once(result)
 
-        self.bag.append(arrive)
+        self.undelivered.append(arrive)
         self.updates.add(arrive)
 
     def _once(
@@ -134,26 +135,26 @@
 
 
 class Desk:
-    """Operators who edit one row, and what they were told."""
+    """Operators who edit one row, and the reports that they got."""
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.platform = LatePlatform(self.clock)
-        self.silent: set[str] = set()
+        self.platform = DelayingPlatform(self.clock)
+        self.unresponsive: set[str] = set()
         self.reports: dict[str, EditReport] = {}
-        self.seen: dict[str, int] = {}
+        self.read_versions: dict[str, int] = {}
         self._reactor = FakeReactor(self.clock)
 
     def edit(self, slots: int) -> None:
-        """Edit the row as it is stored now, through an editor of its own."""
+        """Edit the row as stored, through a separate editor."""
         stored = decode_stored(self.platform.version, self.platform.value)
         assert stored is not None
-        name = f"edit-{len(self.seen)}"
-        self.seen[name] = stored.row_version(GROUP)
+        name = f"edit-{len(self.read_versions)}"
+        self.read_versions[name] = stored.row_version(GROUP)
         editor = TableEditor(
             reactor=self._reactor,  # type: ignore[arg-type]
             platform=self.platform,  # type: ignore[arg-type]
-            reach=self._reach,
+            reach=self._probe_targets,
             on_stored=lambda shard, version, value: None,
         )
         cells = {"max_slots": slots, "read_weights": {"old": 100}}
@@ -162,45 +163,53 @@
             author=name,
             at="2026-01-01",
             edits=(
-                RowEdit(group=GROUP, cells=cells, if_version=self.seen[name]),
+                RowEdit(
+                    group=GROUP,
+                    cells=cells,
+                    if_version=self.read_versions[name],
+                ),
             ),
         )
-        editor.submit(request, lambda report: self._told(name, report))
+        editor.submit(
+            request, lambda report: self._record_report(name, report)
+        )
 
-    def _told(self, name: str, report: EditReport) -> None:
-        assert name not in self.reports, f"{name} was told twice"
+    def _record_report(self, name: str, report: EditReport) -> None:
+        assert name not in self.reports, f"{name} was reported twice"
         self.reports[name] = report
 
-    def _reach(
+    def _probe_targets(
         self, addresses: Sequence[str], on_done: Callable[[set[str]], None]
     ) -> None:
-        on_done({each for each in addresses if each in self.silent})
+        on_done({each for each in addresses if each in self.unresponsive})
 
-    def arrive(self, place: int, answered: bool) -> None:
-        """Let a call arrive; its answer may be lost."""
-        bag = self.platform.bag
+    def deliver(self, index: int, answered: bool) -> None:
+        """Deliver a call; its answer is lost unless `answered`."""
+        bag = self.platform.undelivered
         if bag:
-            bag.pop(place % len(bag))(answered)
+            bag.pop(index % len(bag))(answered)
 
-    def let_reads_arrive(self) -> None:
-        """Let all reads under way arrive, while updates are still to."""
+    def deliver_reads(self) -> None:
+        """Deliver all pending reads, but no updates."""
         updates = self.platform.updates
-        for call in [c for c in self.platform.bag if c not in updates]:
-            self.platform.bag.remove(call)
+        for call in [c for c in self.platform.undelivered if c not in updates]:
+            self.platform.undelivered.remove(call)
             call(True)
 
     def end(self) -> None:
-        """Let everything arrive, the oldest first."""
+        """Deliver all calls, the oldest first."""
         for _ in range(END_SECONDS * 2):
-            while self.platform.bag:
-                self.arrive(0, True)
+            while self.platform.undelivered:
+                self.deliver(0, True)
             self.clock.advance(0.5)
 
     def check(self) -> None:
-        """Check that everybody was told the truth."""
+        """Check that every report is true."""
         ids = self.platform.ids
-        assert set(self.reports) == set(self.seen), "somebody was told nothing"
-        assert len(ids) == len(set(ids)), f"an edit was made twice: {ids}"
+        assert set(self.reports) == set(
+            self.read_versions
+        ), "an edit was not reported"
+        assert len(ids) == len(set(ids)), f"an edit was stored twice: {ids}"
         for name, report in self.reports.items():
             if report.verdict is Verdict.ACCEPTED and report.cells:
                 assert name in ids, f"{name} accepted, not stored"
@@ -210,17 +219,22 @@
         assert stored is not None
         version = 0
         for change in stored.history:
-            assert self.seen[change.id] == version, f"{change.id} overwrote"
+            assert (
+                self.read_versions[change.id] == version
+            ), f"{change.id} overwrote"
             version = change.base + 1
 
 
-def told_when_read_back() -> EditReport:
-    """Report an edit whose read back finds it, and the group unanswered."""
+def report_when_read_back() -> EditReport:
+    """Return the report of an edit that is read back as stored.
+
+    The group, which is read at the same time, is not answered.
+    """
     desk = Desk()
-    bag = desk.platform.bag
+    bag = desk.platform.undelivered
     desk.edit(2)
-    desk.let_reads_arrive()
-    desk.arrive(0, False)
+    desk.deliver_reads()
+    desk.deliver(0, False)
     while not bag:
         desk.clock.advance(0.1)
     group, shard = bag
@@ -252,24 +266,24 @@
 
 
 def run_step(desk: Desk, what: str, value: Any) -> None:
-    """Do one generated step."""
+    """Run one generated step."""
     match what:
         case "edit":
             desk.edit(value)
         case "arrive":
-            desk.arrive(value, True)
+            desk.deliver(value, True)
         case "unanswered":
-            desk.arrive(value, False)
+            desk.deliver(value, False)
         case "pass":
             desk.clock.advance(value / 10)
         case "reads":
-            desk.let_reads_arrive()
+            desk.deliver_reads()
         case "silent":
-            desk.silent = {"address-1", "address-2"} if value else set()
+            desk.unresponsive = {"address-1", "address-2"} if value else set()
 
 
 def check_edits(runs: int) -> None:
-    """Run that many generated races; raise AssertionError on a fault."""
+    """Run `runs` generated races; raise AssertionError on a fault."""
 
     @settings(
         max_examples=runs,
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what operators are told of losses."""
+"""Steps for `bamboospring losses`."""
 
 from __future__ import annotations
 
--- a/features/steps/report_steps.py
+++ b/features/steps/report_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the report on service levels."""
+"""Steps for the report on service-level objectives."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from bamboospring.settings import Objectives
 from bamboospring.testing.caller import Caller
 
-PLAIN = {"at", "started_at"}
+TIME_COLUMNS = {"at", "started_at"}
 RECORD_SECONDS = 8
-KILL_AFTER = 3.0
+KILL_AFTER_SECONDS = 3.0
 
 
-def _line(at: float, started_at: float, counts: dict[str, Any]) -> str:
+def _sample_line(at: float, started_at: float, counts: dict[str, Any]) -> str:
     vms = {"vm-1": {"started_at": started_at, "counts": {GROUP: counts}}}
     return json.dumps({"at": at, "vms": vms, "silent": []})
 
 
-def _write(context: Any, lines: list[str]) -> None:
+def _write_series(context: Any, lines: list[str]) -> None:
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.folder = Path(folder.name)
@@ -51,14 +51,14 @@
         counts: dict[str, Any] = {
             name: int(text)
             for name, text in cells.items()
-            if name not in PLAIN and "." not in name
+            if name not in TIME_COLUMNS and "." not in name
         }
         counts["failures"] = {
             name: int(text) for name, text in cells.items() if "." in name
         }
         started = float(cells.get("started_at", 1))
-        lines.append(_line(float(cells["at"]), started, counts))
-    _write(context, lines)
+        lines.append(_sample_line(float(cells["at"]), started, counts))
+    _write_series(context, lines)
 
 
 @given(
@@ -69,7 +69,7 @@
     context: Any, number: int, seconds: int, reads: int, failed: int
 ) -> None:
     lines = [
-        _line(
+        _sample_line(
             at * seconds,
             1,
             {"reads": at * reads, "failures": {"not_run.x": at * failed}},
@@ -77,7 +77,7 @@
         for at in range(number)
     ]
     context.every = seconds
-    _write(context, lines)
+    _write_series(context, lines)
 
 
 @when(
@@ -91,20 +91,20 @@
         counts = last["vms"]["vm-1"]["counts"][GROUP]
         counts["reads"] += reads
         counts["failures"]["not_run.x"] += failed
-        lines.append(_line(last["at"] + context.every, 1, counts))
-    _write(context, lines)
+        lines.append(_sample_line(last["at"] + context.every, 1, counts))
+    _write_series(context, lines)
 
 
-def _judged(context: Any) -> dict[str, Any]:
+def _group_report(context: Any) -> dict[str, Any]:
     samples = report.read_series(context.series)
-    reports = burn.judge(samples, Objectives())
+    reports = burn.evaluate_objectives(samples, Objectives())
     data: dict[str, Any] = report.as_json(samples, reports)["groups"][0]
     return data
 
 
 @then("the report has for the group")
 def step_figures(context: Any) -> None:
-    found = _judged(context)
+    found = _group_report(context)
     for row in context.table:
         section, _, name = row["figure"].partition(".")
         value = found[section][name]
@@ -112,22 +112,24 @@
 
 
 @then("the group misses just latency")
-def step_misses(context: Any) -> None:
-    assert _judged(context)["misses"] == ["latency"], _judged(context)
+def step_missed_objectives(context: Any) -> None:
+    assert _group_report(context)["misses"] == ["latency"], _group_report(
+        context
+    )
 
 
 @then("the report pages for availability over 60 minutes")
 def step_pages(context: Any) -> None:
     alerts = [
         (each["severity"], each["objective"], each["long_minutes"])
-        for each in _judged(context)["alerts"]
+        for each in _group_report(context)["alerts"]
     ]
     assert ("page", "availability", 60) in alerts, alerts
 
 
 @then("the report does not page")
 def step_no_page(context: Any) -> None:
-    alerts = _judged(context)["alerts"]
+    alerts = _group_report(context)["alerts"]
     pages = [
         each
         for each in alerts
@@ -171,17 +173,19 @@
     """Return samples that grow by each step, some after a restart."""
     reads = failed = 0
     started = 0.0
-    samples = [_one_sample(0.0, started, 0, 0)]
-    for at, (more, lost, restarted) in enumerate(steps, start=1):
+    samples = [_new_sample(0.0, started, 0, 0)]
+    for at, (added_reads, added_failures, restarted) in enumerate(
+        steps, start=1
+    ):
         if restarted:
             started, reads, failed = float(at), 0, 0
-        reads += more
-        failed += lost
-        samples.append(_one_sample(float(at), started, reads, failed))
+        reads += added_reads
+        failed += added_failures
+        samples.append(_new_sample(float(at), started, reads, failed))
     return samples
 
 
-def _one_sample(
+def _new_sample(
     at: float, started: float, reads: int, failed: int
 ) -> burn.Sample:
     tally = burn.Tally(reads=reads, failures={"not_run.x": failed})
@@ -191,7 +195,7 @@
 
 @given("a settings file whose objective for the gap is 1 ms")
 def step_objective(context: Any) -> None:
-    _write(context, [])
+    _write_series(context, [])
     context.settings = context.folder / "vm.json"
     objectives = {"default": {"failover_gap_ms": 1}}
     context.settings.write_text(
@@ -215,7 +219,9 @@
 
     thread = threading.Thread(target=work, daemon=True)
     thread.start()
-    kill = threading.Timer(KILL_AFTER, fleet.kill, [fleet.primary(GROUP)])
+    kill = threading.Timer(
+        KILL_AFTER_SECONDS, fleet.kill, [fleet.primary(GROUP)]
+    )
     kill.start()
     done = run_command(
         f"record {context.series} --seconds {RECORD_SECONDS} --every 0.5",
@@ -249,7 +255,9 @@
 
 @given("a series whose line 2 is broken")
 def step_broken(context: Any) -> None:
-    _write(context, [_line(0, 1, {"reads": 0, "failures": {}}), "{broken"])
+    _write_series(
+        context, [_sample_line(0, 1, {"reads": 0, "failures": {}}), "{broken"]
+    )
 
 
 @then('"bamboospring report" ends with 2 and names line 2')
