--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -330,7 +330,7 @@
 def when_held_back(context: Any) -> None:
     context.watcher = platform_watchers(context.fleet)[0]
     context.away = [context.watcher]
-    context.fleet.link(
+    context.fleet.set_link_mode(
         f"platform:{context.watcher}", mode="freeze", direction="to_client"
     )
 
@@ -386,7 +386,7 @@
 
 @when("the answers held back arrive")
 def when_arrive(context: Any) -> None:
-    context.fleet.link(f"platform:{context.watcher}", mode="pass")
+    context.fleet.set_link_mode(f"platform:{context.watcher}", mode="pass")
 
 
 @then("the last edit is in force on all VMs within {seconds:d} s")
--- a/features/steps/configuration_support.py
+++ b/features/steps/configuration_support.py
@@ -155,7 +155,7 @@
             self.transactions += 1
 
     def _record_answer(self, what: str, answer: Any) -> bool:
-        self.slowest = max(self.slowest, answer.seconds)
+        self.slowest = max(self.slowest, answer.elapsed)
         if answer.done:
             self.done += 1
         else:
