--- a/bamboospring/http_client.py
+++ b/bamboospring/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 over streams, as a client: one exchange at a time.
+"""An HTTP/1.1 client over streams, with one exchange at a time.
 
-Parsing is the library's (httptools); this module adds the timeouts and the
-rule that a connection in doubt is closed.
+httptools parses the responses. This module adds timeouts and closes a
+connection whose state is uncertain.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 import httptools
 
-from bamboospring.http_codec import joined
-from bamboospring.http_codec import Malformed
+from bamboospring.http_codec import InvalidMessage
+from bamboospring.http_codec import join_parts
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Stream
 from bamboospring.reactor import Timer
@@ -27,16 +27,16 @@
 ]
 
 CONNECT_TIMEOUT = 1.0
-# The reason of an answer that did not come in time.
+# The `reason` of a request whose response did not arrive in time.
 TIMED_OUT = "timeout"
 
 
 @dataclass(slots=True, kw_only=True)
 class HttpAnswer:
-    """The whole answer to a request of ours.
+    """A complete response.
 
-    `header` is the value of the one header that the connection keeps, empty
-    if the answer has none.
+    `header` is the value of the header that the connection captures, or ""
+    if the response does not have it.
     """
 
     status: int
@@ -46,32 +46,36 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HttpLost:
-    """No whole answer came. `sent` is false if surely nothing was sent."""
+    """No complete response arrived.
+
+    `sent` is false only if it is certain that nothing was sent.
+    """
 
     sent: bool
     reason: str
 
 
-OnAnswer = Callable[[HttpAnswer | HttpLost], None]
+OnComplete = Callable[[HttpAnswer | HttpLost], None]
 
 
 class HttpConnection:
-    """One client connection; after any doubt it is closed for good.
+    """A client connection, closed for good if its state is uncertain.
 
-    `kept_header` names, in lower case, the header that answers bring along.
+    `kept_header` is the lower-case name of the header whose value is returned
+    with each response.
     """
 
     __slots__ = (
         "_address",
-        "_begun",
+        "_response_started",
         "_body",
-        "_header",
+        "_captured_value",
         "_host",
-        "_kept_header",
-        "_on_answer",
+        "_captured_name",
+        "_on_complete",
         "_parser",
         "_reactor",
-        "_spare",
+        "_spare_parser",
         "_stream",
         "_timer",
         "on_close",
@@ -82,42 +86,42 @@
     ) -> None:
         self._reactor = reactor
         self._address = address
-        self._kept_header = kept_header.encode("latin-1")
-        self._header = b""
+        self._captured_name = kept_header.encode("latin-1")
+        self._captured_value = b""
         self._host = f" HTTP/1.1\r\nHost: {address}\r\n"
         self._stream: Stream | None = None
         self._parser: httptools.HttpResponseParser | None = None
-        # The parser of the answer before, good for the next one.
-        self._spare: httptools.HttpResponseParser | None = None
-        self._begun = False
+        # The parser of the previous response, reused for the next one.
+        self._spare_parser: httptools.HttpResponseParser | None = None
+        self._response_started = False
         self._body: list[bytes] = []
-        self._on_answer: OnAnswer | None = None
+        self._on_complete: OnComplete | None = None
         self._timer: Timer | None = None
         self.on_close: Callable[[], None] | None = None
 
     @property
     def usable(self) -> bool:
-        """Tell whether the connection is open with no exchange under way."""
+        """Return whether the connection is open with no exchange in flight."""
         stream = self._stream
         return (
             stream is not None
             and not stream.closed
-            and self._on_answer is None
+            and self._on_complete is None
         )
 
     @property
     def open(self) -> bool:
-        """Tell whether the connection is open."""
+        """Return whether the connection is open."""
         return self._stream is not None and not self._stream.closed
 
     def connect(self, timeout: float, on_open: Callable[[bool], None]) -> None:
-        """Open the connection; calls back with False if it can't be had."""
+        """Open the connection; call `on_open` with whether it succeeded."""
 
         def opened(stream: Stream | None) -> None:
             if stream is not None:
                 self._stream = stream
-                stream.on_data = self._data
-                stream.on_close = self._closed
+                stream.on_data = self._on_data
+                stream.on_close = self._on_stream_closed
             on_open(stream is not None)
 
         self._reactor.connect(self._address, timeout, opened)
@@ -128,47 +132,48 @@
         path: str,
         body: bytes,
         timeout: float,
-        on_answer: OnAnswer,
+        on_answer: OnComplete,
         headers: str = "",
     ) -> None:
         """Send one request on the open connection.
 
-        `headers` holds further header lines, each ended by CRLF. After
-        `timeout` seconds without a whole answer the connection is closed: a
-        late answer must never be taken for the answer to the next request.
+        `headers` holds additional header lines, each ending with CRLF. After
+        `timeout` seconds without a complete response the connection is
+        closed: a late response must never be taken for the response to the
+        next request.
         """
         if not self.usable:
             on_answer(HttpLost(sent=False, reason="closed"))
             return
         assert self._stream is not None
-        self._on_answer = on_answer
-        spare, self._spare = self._spare, None
+        self._on_complete = on_answer
+        spare, self._spare_parser = self._spare_parser, None
         self._parser = spare or httptools.HttpResponseParser(self)
-        self._timer = self._reactor.call_later(timeout, self._timed_out)
+        self._timer = self._reactor.call_later(timeout, self._on_timeout)
         if body or method != "GET":
             headers += f"Content-Length: {len(body)}\r\n"
         head = f"{method} {path}{self._host}{headers}\r\n"
         self._stream.send(head.encode("latin-1") + body)
 
     def close(self) -> None:
-        """Close the connection; an exchange under way is lost."""
+        """Close the connection; an exchange in flight fails."""
         if self._stream is not None:
             self._stream.abort()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        if self._begun:
-            # A second answer to one request, in one piece with the first.
-            # The next request may have been made meanwhile, and would get
-            # this for its answer; a parser error closes the connection.
-            raise Malformed()
-        self._begun = True
-        self._header = b""
+        if self._response_started:
+            # A second response to one request, received together with the
+            # first. The next request may already be in flight and would get
+            # this as its response; the exception closes the connection.
+            raise InvalidMessage()
+        self._response_started = True
+        self._captured_value = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._kept_header and name.lower() == self._kept_header:
-            self._header = value
+        if self._captured_name and name.lower() == self._captured_name:
+            self._captured_value = value
 
     def on_body(self, data: bytes) -> None:
         self._body.append(data)
@@ -180,77 +185,77 @@
         answer = HttpAnswer(
             status=parser.get_status_code(),
             body=self._take_body(),
-            header=self._header.decode("latin-1"),
+            header=self._captured_value.decode("latin-1"),
         )
         if not parser.should_keep_alive():
-            self._finish(answer)
+            self._complete(answer)
             self.close()
             return
-        self._finish(answer)
+        self._complete(answer)
 
-    # What the stream calls.
+    # Callbacks of the stream.
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         parser = self._parser
         if parser is None:
-            # Bytes that no request asked for: whose answer they are can't
-            # be known, so the connection is not used again.
+            # Data without a request in flight cannot be matched to a request,
+            # so the connection must not be reused.
             self.close()
             return
         try:
             parser.feed_data(data)
         except httptools.HttpParserError:
-            self._lose("protocol")
+            self._fail("protocol")
             return
         if self._parser is not parser:
-            self._begun = False
-            self._spare = parser
+            self._response_started = False
+            self._spare_parser = parser
 
-    def _closed(self) -> None:
-        self._lose("closed")
+    def _on_stream_closed(self) -> None:
+        self._fail("closed")
         if self.on_close is not None:
             self.on_close()
 
-    def _timed_out(self) -> None:
+    def _on_timeout(self) -> None:
         self._timer = None
-        self._lose(TIMED_OUT)
+        self._fail(TIMED_OUT)
 
-    def _lose(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         self._parser = None
         stream = self._stream
-        self._finish(HttpLost(sent=True, reason=reason))
+        self._complete(HttpLost(sent=True, reason=reason))
         if stream is not None:
             stream.abort()
 
     def _take_body(self) -> bytes:
         body, self._body = self._body, []
-        return joined(body)
+        return join_parts(body)
 
-    def _finish(self, answer: HttpAnswer | HttpLost) -> None:
+    def _complete(self, answer: HttpAnswer | HttpLost) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        on_answer, self._on_answer = self._on_answer, None
+        on_complete, self._on_complete = self._on_complete, None
         if isinstance(answer, HttpLost):
             self._body = []
-        if on_answer is not None:
-            on_answer(answer)
+        if on_complete is not None:
+            on_complete(answer)
 
 
 @dataclass(slots=True, kw_only=True)
-class _Call:
-    """A request that waits for the client's connection."""
+class _QueuedRequest:
+    """A request that waits until the client's connection is free."""
 
     method: str
     path: str
     body: bytes
     deadline: float
-    on_answer: OnAnswer
+    on_complete: OnComplete
     headers: str
 
 
 class HttpClient:
-    """A client that connects when needed and sends requests one by one."""
+    """A client that connects on demand and sends one request at a time."""
 
     def __init__(
         self, *, reactor: Reactor, address: str, kept_header: str = ""
@@ -259,9 +264,9 @@
         self._address = address
         self._kept_header = kept_header
         self._conn: HttpConnection | None = None
-        self._calls: deque[_Call] = deque()
-        self._active = False
-        self._on_answer: OnAnswer | None = None
+        self._queue: deque[_QueuedRequest] = deque()
+        self._request_active = False
+        self._on_complete: OnComplete | None = None
 
     def request(
         self,
@@ -269,42 +274,42 @@
         path: str,
         body: bytes,
         timeout: float,
-        on_answer: OnAnswer,
+        on_answer: OnComplete,
         headers: str = "",
     ) -> None:
-        """Send a request after those before it; see HttpConnection."""
+        """Queue a request; see `HttpConnection.request`."""
         conn = self._conn
-        idle = not self._active and not self._calls
+        idle = not self._request_active and not self._queue
         if idle and conn is not None and conn.usable:
-            self._active = True
-            self._on_answer = on_answer
-            conn.request(method, path, body, timeout, self._done, headers)
+            self._request_active = True
+            self._on_complete = on_answer
+            conn.request(method, path, body, timeout, self._complete, headers)
             return
-        call = _Call(
+        call = _QueuedRequest(
             method=method,
             path=path,
             body=body,
             deadline=self._reactor.now() + timeout,
-            on_answer=on_answer,
+            on_complete=on_answer,
             headers=headers,
         )
-        self._calls.append(call)
-        self._next()
+        self._queue.append(call)
+        self._send_next()
 
     def close(self) -> None:
-        """Close the connection and give up what waits."""
-        calls, self._calls = self._calls, deque()
+        """Close the connection and fail all queued requests."""
+        queue, self._queue = self._queue, deque()
         if self._conn is not None:
             self._conn.close()
-        for call in calls:
-            call.on_answer(HttpLost(sent=False, reason="closed"))
+        for call in queue:
+            call.on_complete(HttpLost(sent=False, reason="closed"))
 
-    def _next(self) -> None:
-        if self._active or not self._calls:
+    def _send_next(self) -> None:
+        if self._request_active or not self._queue:
             return
-        self._active = True
-        call = self._calls.popleft()
-        self._on_answer = call.on_answer
+        self._request_active = True
+        call = self._queue.popleft()
+        self._on_complete = call.on_complete
         if self._conn is not None and self._conn.usable:
             self._send(call)
             return
@@ -313,35 +318,37 @@
             address=self._address,
             kept_header=self._kept_header,
         )
-        left = call.deadline - self._reactor.now()
-        timeout = min(CONNECT_TIMEOUT, max(0.0, left))
-        self._conn.connect(timeout, lambda ok: self._opened(call, ok))
+        remaining = call.deadline - self._reactor.now()
+        timeout = min(CONNECT_TIMEOUT, max(0.0, remaining))
+        self._conn.connect(
+            timeout, lambda connected: self._on_connected(call, connected)
+        )
 
-    def _opened(self, call: _Call, ok: bool) -> None:
-        if ok:
+    def _on_connected(self, call: _QueuedRequest, connected: bool) -> None:
+        if connected:
             self._send(call)
             return
         self._conn = None
-        self._done(HttpLost(sent=False, reason="connect"))
+        self._complete(HttpLost(sent=False, reason="connect"))
 
-    def _send(self, call: _Call) -> None:
+    def _send(self, call: _QueuedRequest) -> None:
         assert self._conn is not None
-        left = call.deadline - self._reactor.now()
-        if left <= 0:
-            self._done(HttpLost(sent=False, reason=TIMED_OUT))
+        remaining = call.deadline - self._reactor.now()
+        if remaining <= 0:
+            self._complete(HttpLost(sent=False, reason=TIMED_OUT))
             return
         self._conn.request(
             call.method,
             call.path,
             call.body,
-            left,
-            self._done,
+            remaining,
+            self._complete,
             call.headers,
         )
 
-    def _done(self, answer: HttpAnswer | HttpLost) -> None:
-        self._active = False
-        on_answer, self._on_answer = self._on_answer, None
-        if on_answer is not None:
-            on_answer(answer)
-        self._next()
+    def _complete(self, answer: HttpAnswer | HttpLost) -> None:
+        self._request_active = False
+        on_complete, self._on_complete = self._on_complete, None
+        if on_complete is not None:
+            on_complete(answer)
+        self._send_next()
--- a/bamboospring/http_server.py
+++ b/bamboospring/http_server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server over streams: one exchange at a time.
+"""An HTTP/1.1 server over streams, with one exchange at a time.
 
-Parsing is the library's (httptools); this module adds the limits, the
-timeouts and the rule that a connection in doubt is closed.
+httptools parses the requests. This module adds limits and timeouts and closes
+a connection whose state is uncertain.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 import httptools
 
-from bamboospring.http_codec import joined
-from bamboospring.http_codec import Malformed
+from bamboospring.http_codec import InvalidMessage
+from bamboospring.http_codec import join_parts
 from bamboospring.reactor import Listener
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Stream
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Request:
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Response:
-    """What to answer. `close` ends the connection after this answer."""
+    """A response; `close` ends the connection after it."""
 
     status: int = 200
     body: bytes = b""
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Bounds:
-    """What a server takes of one request, in bytes and seconds.
+    """The limits of one request, in bytes and seconds.
 
-    A caller that sends its request a byte at a time holds memory; after
-    `timeout` with an unfinished request the connection is closed.
+    A caller that sends a request very slowly keeps memory in use, so a
+    connection is closed `timeout` seconds after an incomplete request began.
     """
 
     head: int = 16 * 1024
@@ -62,11 +62,11 @@
     timeout: float = 10.0
 
 
-Handler = Callable[[Request, Callable[[Response], None]], None]
+RequestHandler = Callable[[Request, Callable[[Response], None]], None]
 
 
 def encode_response(response: Response, close: bool) -> bytes:
-    """Return the bytes of a response with its length stated."""
+    """Return the encoded response with its Content-Length."""
     body = response.body
     if response.headers or close or not body:
         lines = [_status_line(response.status)]
@@ -91,7 +91,7 @@
 
 @lru_cache
 def _plain_head(status: int, content_type: str) -> bytes:
-    """Return the head of an answer without further headers, up to its size."""
+    """Return the head of a simple response, up to the Content-Length value."""
     line = _status_line(status)
     return (
         f"{line}\r\nContent-Type: {content_type}\r\nContent-Length: "
@@ -99,11 +99,11 @@
 
 
 class HttpServer:
-    """Listen for HTTP connections and hand whole requests to a handler.
+    """Listen for HTTP connections and pass complete requests to a handler.
 
-    The handler gets a `respond` callable that it calls exactly once, then or
-    later. Requests on one connection are handled in order, one at a time.
-    With `draining` set every answer closes its connection.
+    The handler gets a `respond` callable and must call it exactly once, at
+    once or later. Requests on one connection are handled in order, one at a
+    time. While `draining` is set, each response closes its connection.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         *,
         reactor: Reactor,
         address: str,
-        handler: Handler,
+        handler: RequestHandler,
         reuse_port: bool = False,
         bounds: Bounds = Bounds(),
     ) -> None:
@@ -121,38 +121,38 @@
         self.draining = False
         self.connections: set[_ServerConnection] = set()
         self.listener: Listener = reactor.listen(
-            address, self._accepted, reuse_port=reuse_port
+            address, self._on_accept, reuse_port=reuse_port
         )
 
     @property
     def address(self) -> str:
-        """Return the address listened on, with the port really in use."""
+        """Return the listening address with the actual port."""
         return self.listener.address
 
     @property
     def busy(self) -> int:
-        """Return how many connections have a request under way."""
+        """Return the number of connections with a request in flight."""
         return sum(conn.busy for conn in self.connections)
 
     def drain(self) -> None:
-        """Take no new connections, close idle ones, end others when done."""
+        """Stop listening and close each connection once it is idle."""
         self.draining = True
         self.listener.close()
         for conn in list(self.connections):
             conn.close_if_idle()
 
-    def _accepted(self, stream: Stream) -> None:
+    def _on_accept(self, stream: Stream) -> None:
         self.connections.add(_ServerConnection(server=self, stream=stream))
 
 
 class _ServerConnection:
-    """One connection of a caller: parses, hands on, answers in order."""
+    """A caller's connection, whose requests are handled in order."""
 
     __slots__ = (
         "_body",
         "_body_size",
-        "_head_bytes",
-        "_head_size",
+        "_parsed_head_bytes",
+        "_received_bytes",
         "_in_head",
         "_headers",
         "_parser",
@@ -162,7 +162,7 @@
         "_timer",
         "_url",
         "busy",
-        "_keep",
+        "_keep_alive",
     )
 
     def __init__(self, *, server: HttpServer, stream: Stream) -> None:
@@ -175,24 +175,24 @@
         self._url = b""
         self._body: list[bytes] = []
         self._body_size = 0
-        self._head_bytes = 0
-        self._head_size = 0
+        self._parsed_head_bytes = 0
+        self._received_bytes = 0
         self._in_head = False
-        self._keep = True
+        self._keep_alive = True
         self.busy = False
-        stream.on_data = self._data
-        stream.on_close = self._closed
+        stream.on_data = self._on_data
+        stream.on_close = self._on_closed
 
     def close_if_idle(self) -> None:
-        """Close unless a request is being handled or read."""
+        """Close the connection unless a request is being read or handled."""
         if not self.busy and self._timer is None:
             self._stream.close()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         self._in_head = True
-        self._head_bytes = 0
+        self._parsed_head_bytes = 0
         self._headers = {}
         self._url = b""
         self._body = []
@@ -200,35 +200,35 @@
 
     def on_url(self, url: bytes) -> None:
         self._url += url
-        self._add_to_head(len(url))
+        self._add_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._add_to_head(len(name) + len(value))
+        self._add_head_bytes(len(name) + len(value))
         if len(self._headers) >= MAX_HEADERS:
             raise _HeadTooLarge()
         key = name.decode("latin-1").lower()
         if key == "host" and key in self._headers:
-            raise Malformed()
+            raise InvalidMessage()
         self._headers[key] = value.decode("latin-1")
 
-    def _add_to_head(self, size: int) -> None:
-        # What comes in one piece is counted here: a whole head of up to
-        # READ_SIZE bytes never is an unfinished one.
-        self._head_bytes += size
-        if self._head_bytes > self._server.bounds.head:
+    def _add_head_bytes(self, size: int) -> None:
+        # Catches an oversized head that arrives in a single read (up to
+        # READ_SIZE bytes), which `_on_data` never sees as incomplete.
+        self._parsed_head_bytes += size
+        if self._parsed_head_bytes > self._server.bounds.head:
             raise _HeadTooLarge()
 
     def on_body(self, data: bytes) -> None:
         self._body_size += len(data)
         if self._body_size > self._server.bounds.body:
-            raise _TooLarge()
+            raise _BodyTooLarge()
         self._body.append(data)
 
     def on_headers_complete(self) -> None:
         self._in_head = False
         length = self._headers.get("content-length", "")
         if length.isdigit() and int(length) > self._server.bounds.body:
-            raise _TooLarge()
+            raise _BodyTooLarge()
 
     def on_message_complete(self) -> None:
         parser = self._parser
@@ -238,73 +238,74 @@
             method=parser.get_method().decode("latin-1"),
             path=self._url.decode("latin-1"),
             headers=self._headers,
-            body=joined(self._body),
+            body=join_parts(self._body),
         )
         if self._queue is None:
             self._queue = deque()
         self._queue.append((req, parser.should_keep_alive()))
 
-    # What the stream calls.
+    # Callbacks of the stream.
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         if self._parser is None:
             self._parser = httptools.HttpRequestParser(self)
-        waiting = len(self._queue) if self._queue else 0
-        self._head_size += len(data)
+        queued_before = len(self._queue) if self._queue else 0
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(HTTPStatus.BAD_REQUEST)
+            self._reject(HTTPStatus.BAD_REQUEST)
             return
         except httptools.HttpParserError as exc:
-            self._refuse(_status_of(exc))
+            self._reject(_status_for(exc))
             return
-        now_waiting = len(self._queue) if self._queue else 0
-        if now_waiting > waiting:
-            self._head_size = 0
-        elif self._in_head and self._head_size > self._server.bounds.head:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+        queued_after = len(self._queue) if self._queue else 0
+        if queued_after > queued_before:
+            self._received_bytes = 0
+        elif self._in_head and self._received_bytes > self._server.bounds.head:
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
             return
         elif self._timer is None:
             self._timer = self._server.reactor.call_later(
-                self._server.bounds.timeout, self._too_slow
+                self._server.bounds.timeout, self._on_timeout
             )
-        if now_waiting > MAX_PIPELINED:
+        if queued_after > MAX_PIPELINED:
             self._stream.pause()
-        self._next()
+        self._handle_next()
 
-    def _next(self) -> None:
+    def _handle_next(self) -> None:
         if self.busy or not self._queue or self._stream.closed:
             return
-        req, self._keep = self._queue.popleft()
+        req, self._keep_alive = self._queue.popleft()
         self.busy = True
         self._server.handler(req, self._respond)
 
     def _respond(self, response: Response) -> None:
         if not self.busy:
-            raise RuntimeError("a request was answered twice")
+            raise RuntimeError("respond was called twice for one request")
         self.busy = False
-        close = response.close or not self._keep or self._server.draining
+        close = response.close or not self._keep_alive or self._server.draining
         self._stream.send(encode_response(response, close))
         if close:
             self._stream.close()
             return
         if self._queue:
             self._stream.resume()
-            # A later turn: a long pipeline must not nest its calls.
-            self._server.reactor.call_later(0, self._next)
+            # Handle the next request in a later iteration of the event loop,
+            # so that a long pipeline does not recurse.
+            self._server.reactor.call_later(0, self._handle_next)
 
-    def _refuse(self, status: HTTPStatus) -> None:
-        """Answer a request that can't be read, and close.
+    def _reject(self, status: HTTPStatus) -> None:
+        """Respond to an invalid request with an error and close.
 
-        What follows the broken bytes could be anything, also a second
-        request put there by somebody else, so nothing more is read.
+        The data after the invalid bytes cannot be trusted and may be a
+        smuggled second request, so nothing more is read.
         """
         self._stop_timer()
         self._queue = None
         if self.busy:
-            # The answer under way is still sent, then the stream closes.
-            self._keep = False
+            # The response in flight is still sent, then the stream closes.
+            self._keep_alive = False
             self._stream.pause()
             return
         body = b'{"outcome": "not_run", "reason": "bad_request"}'
@@ -312,32 +313,32 @@
         self._stream.send(encode_response(response, True))
         self._stream.close()
 
-    def _too_slow(self) -> None:
+    def _on_timeout(self) -> None:
         self._timer = None
-        self._refuse(HTTPStatus.REQUEST_TIMEOUT)
+        self._reject(HTTPStatus.REQUEST_TIMEOUT)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _closed(self) -> None:
+    def _on_closed(self) -> None:
         self._stop_timer()
         self._parser = None
         self._server.connections.discard(self)
 
 
-class _TooLarge(Exception):
-    """A part of the request is over its limit."""
+class _BodyTooLarge(Exception):
+    """The body exceeds its limit."""
 
 
 class _HeadTooLarge(Exception):
-    """The request's line and headers are over their limit."""
+    """The request line and headers exceed their limit."""
 
 
-def _status_of(exc: BaseException) -> HTTPStatus:
+def _status_for(exc: BaseException) -> HTTPStatus:
     if isinstance(exc.__context__, _HeadTooLarge):
         return HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-    if isinstance(exc.__context__, _TooLarge):
+    if isinstance(exc.__context__, _BodyTooLarge):
         return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
     return HTTPStatus.BAD_REQUEST
--- a/bamboospring/reactor.py
+++ b/bamboospring/reactor.py
@@ -1,9 +1,9 @@
-"""The circuits component that waits for sockets and timers.
+"""The circuits component that polls sockets and runs timers.
 
-It stands where the base library's own poller would: that one keeps its
-readers in a list and scans it at each change, which does not hold with
-thousands of connections, and it fires one event (about 11 us) for each
-readable socket. Here a ready socket leads to a direct call.
+It replaces the poller of the circuits library. That poller scans a list of
+all its readers at each change, which is too slow with thousands of
+connections, and fires one event (about 11 us) for each readable socket. The
+reactor calls the handler of a ready socket directly.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 ACCEPT_BATCH = 64
 BACKLOG = 1024
 MAX_EVENTS = 512
-# A peer that does not read makes the output grow without end; beyond this
-# the stream is dropped, since its other end has stopped long before.
-MAX_UNSENT = 8 * 1024 * 1024
-# When the process is out of descriptors, accept() fails at once and the
-# listening socket stays readable: without a pause the loop would spin.
-ACCEPT_PAUSE = 0.1
-MIN_CANCELLED = 1000
+# The send buffer of a peer that does not read would grow without bound. At
+# this size the peer has stopped reading long before, and the stream is closed.
+MAX_UNSENT_BYTES = 8 * 1024 * 1024
+# Seconds. If the process has no free file descriptors, accept() fails at once
+# and the listening socket stays readable, so the loop would spin at full CPU.
+ACCEPT_RETRY_DELAY = 0.1
+MIN_CANCELLED_TIMERS = 1000
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split `"ip:port"` into its two parts; ValueError if it is not one."""
+    """Return the host and port of `"ip:port"`; raise ValueError if invalid."""
     host, _, port = address.rpartition(":")
     if not host:
         raise ValueError(f"not an ip:port address: {address!r}")
@@ -47,7 +47,7 @@
 
 
 class Timer:
-    """A callback that is due once; `cancel` makes it do nothing."""
+    """A callback that runs once at a set time unless it is cancelled."""
 
     __slots__ = ("_reactor", "callback", "when")
 
@@ -59,17 +59,17 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Drop the callback."""
+        """Discard the callback; has no effect once it has run."""
         if self.callback is not None:
             self.callback = None
-            self._reactor.timer_cancelled()
+            self._reactor.record_cancelled_timer()
 
 
 class Stream:
-    """A connected TCP socket with buffered, never blocking output.
+    """A connected TCP socket with buffered, non-blocking output.
 
-    Set `on_data` and `on_close` before the next turn of the loop. `on_close`
-    is called once, whoever closes.
+    Set `on_data` and `on_close` before the next iteration of the event loop.
+    `on_close` is called once, whichever side closes the connection.
     """
 
     __slots__ = (
@@ -94,10 +94,10 @@
         self.closing = False
         self.on_data: Callable[[bytes], None] | None = None
         self.on_close: Callable[[], None] | None = None
-        reactor.watch(self._fd, self._mask, self._ready)
+        reactor.watch(self._fd, self._mask, self._handle_events)
 
     def send(self, data: bytes) -> None:
-        """Send or queue; what a closed stream is given is dropped."""
+        """Send or buffer the data; discard it if the stream is closed."""
         if self.closed or self.closing:
             return
         if self._out is None:
@@ -107,18 +107,18 @@
             self._out = bytearray()
             self._set_mask(self._mask | select.EPOLLOUT)
         self._out += data
-        if len(self._out) > MAX_UNSENT:
+        if len(self._out) > MAX_UNSENT_BYTES:
             self.abort()
 
     def close(self) -> None:
-        """Close once all that is queued has been sent."""
+        """Close the stream once all buffered output has been sent."""
         if self._out is None:
             self.abort()
         else:
             self.closing = True
 
     def abort(self) -> None:
-        """Close now; queued output is lost."""
+        """Close the stream at once and discard buffered output."""
         if self.closed:
             return
         self.closed = True
@@ -130,15 +130,15 @@
             on_close()
 
     def pause(self) -> None:
-        """Stop reading; the other end then sees its sends held back."""
+        """Stop reading, so that TCP flow control slows down the peer."""
         self._set_mask(self._mask & ~select.EPOLLIN)
 
     def resume(self) -> None:
-        """Read again after `pause`."""
+        """Resume reading after `pause`."""
         self._set_mask(self._mask | select.EPOLLIN)
 
     def peer_address(self) -> str:
-        """Return the other end as `"ip:port"`, empty when it is gone."""
+        """Return the peer's `"ip:port"`, or "" if it is disconnected."""
         try:
             host, port = self._sock.getpeername()[:2]
         except OSError:
@@ -148,7 +148,7 @@
     def _set_mask(self, mask: int) -> None:
         if mask != self._mask and not self.closed:
             self._mask = mask
-            self._reactor.change(self._fd, mask)
+            self._reactor.modify(self._fd, mask)
 
     def _send_now(self, data: bytes) -> bytes:
         try:
@@ -160,7 +160,7 @@
             return b""
         return data[sent:]
 
-    def _ready(self, mask: int) -> None:
+    def _handle_events(self, mask: int) -> None:
         if mask == EPOLLIN:
             self._receive()
             return
@@ -199,7 +199,7 @@
 
 
 class Listener:
-    """A bound socket that takes connections from `open` until `close`."""
+    """A bound socket that accepts connections from `open` until `close`."""
 
     def __init__(
         self,
@@ -214,45 +214,46 @@
         self._on_accept = on_accept
         host, port = sock.getsockname()[:2]
         self.address = f"{host}:{port}"
-        self._opened = False
+        self._is_open = False
 
     def open(self) -> None:
-        """Take connections from now on."""
-        if self._opened or self._fd < 0:
+        """Start accepting connections."""
+        if self._is_open or self._fd < 0:
             return
-        self._opened = True
+        self._is_open = True
         self._sock.listen(BACKLOG)
-        self._reactor.watch(self._fd, select.EPOLLIN, self._ready)
+        self._reactor.watch(self._fd, select.EPOLLIN, self._handle_events)
 
     def close(self) -> None:
-        """Stop listening; accepted streams stay."""
+        """Stop listening; accepted streams stay open."""
         if self._fd < 0:
             return
-        if self._opened:
+        if self._is_open:
             self._reactor.unwatch(self._fd)
         self._sock.close()
         self._fd = -1
 
     def drain(self) -> None:
-        """Take what waits in the queue, then close.
-
-        The kernel resets the connections that wait in the queue of a socket
-        that is closed. Their callers hold them for open and may have sent a
-        request, which would be cut. What arrives between the last look and
-        the close is still reset, unless the kernel moves it to another
-        process at the address (net.ipv4.tcp_migrate_req).
+        """Accept the connections in the listen queue, then close.
+
+        When a listening socket is closed, the kernel resets the connections
+        in its queue. To the callers these connections are open, and a request
+        already sent on one would be lost. A connection that arrives between
+        the last accept() and close() is still reset, unless the kernel passes
+        it to another process that listens on the address
+        (net.ipv4.tcp_migrate_req).
         """
-        while self._opened and self._accept_one():
+        while self._is_open and self._accept_one():
             pass
         self.close()
 
-    def _ready(self, mask: int) -> None:
+    def _handle_events(self, mask: int) -> None:
         for _ in range(ACCEPT_BATCH):
             if not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
-        """Take a connection; say whether there may be another."""
+        """Accept a connection; return whether more may be queued."""
         if self._fd < 0:
             return False
         try:
@@ -260,29 +261,30 @@
         except BlockingIOError:
             return False
         except OSError as exc:
-            self._accept_failed(exc)
+            self._handle_accept_error(exc)
             return False
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._on_accept(Stream(reactor=self._reactor, sock=sock))
         return True
 
-    def _accept_failed(self, exc: OSError) -> None:
+    def _handle_accept_error(self, exc: OSError) -> None:
         if exc.errno not in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS):
             return
-        self._reactor.change(self._fd, 0)
-        self._reactor.call_later(ACCEPT_PAUSE, self._accept_again)
+        self._reactor.modify(self._fd, 0)
+        self._reactor.call_later(ACCEPT_RETRY_DELAY, self._resume_accepting)
 
-    def _accept_again(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._fd >= 0:
-            self._reactor.change(self._fd, select.EPOLLIN)
+            self._reactor.modify(self._fd, select.EPOLLIN)
 
 
 class Reactor(BaseComponent):
-    """Wait for sockets and timers on behalf of all other components.
+    """Poll sockets and run timers for all other components.
 
-    Times are seconds of `CLOCK_BOOTTIME`. Register it on the manager before
-    any other component, so that the base library brings no poller of its own.
+    Times are in seconds of `CLOCK_BOOTTIME`. Register the reactor on the
+    manager before any other component; otherwise circuits starts its own
+    poller.
     """
 
     channel = "reactor"
@@ -290,42 +292,45 @@
     def __init__(self) -> None:
         super().__init__(channel=self.channel)
         self._epoll = select.epoll()
-        self._ready: dict[int, Callable[[int], None]] = {}
+        self._callbacks: dict[int, Callable[[int], None]] = {}
         self._timers: list[tuple[float, int, Timer]] = []
-        self._cancelled = 0
+        self._cancelled_count = 0
         self._sequence = itertools.count()
-        self._wake_in, self._wake_out = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-        self._waiting = False
-        self.watch(self._wake_in, select.EPOLLIN, self._drain_wake)
-
-    # Seconds since the machine started, also those in which it was suspended.
-    # The monotonic clock leaves these out: a process that slept through the
-    # end of a lease, or of a proof, would go on by it for as long as it
-    # slept. A statement asks some thirty times, so nothing of ours is called.
+        self._wake_read_fd, self._wake_write_fd = os.pipe2(
+            os.O_NONBLOCK | os.O_CLOEXEC
+        )
+        self._polling = False
+        self.watch(self._wake_read_fd, select.EPOLLIN, self._drain_wake)
+
+    # Seconds since boot, including the time when the machine was suspended.
+    # CLOCK_MONOTONIC excludes that time: a process suspended past the end of a
+    # lease or a proof would go on using it for the length of the suspension.
+    # Each statement reads the clock about thirty times, so the clock is a
+    # partial, which avoids the call of a Python function.
     now = staticmethod(partial(time.clock_gettime, time.CLOCK_BOOTTIME))
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> Timer:
-        """Call back once after `delay` seconds."""
+        """Call `callback` once after `delay` seconds."""
         when = self.now() + delay
         timer = Timer(reactor=self, when=when, callback=callback)
         entry = (timer.when, next(self._sequence), timer)
         heapq.heappush(self._timers, entry)
         return timer
 
-    def timer_cancelled(self) -> None:
-        """Drop cancelled timers from the heap once they are most of it.
+    def record_cancelled_timer(self) -> None:
+        """Remove cancelled timers from the heap once they are the majority.
 
-        Nearly every timer is a statement's deadline and is cancelled long
-        before it is due. Kept until then they were 60 MB for a second's
-        2,000 statements with a deadline of a minute.
+        Almost every timer is the deadline of a statement and is cancelled
+        long before it is due. Kept until then, at 2,000 statements a second
+        with a deadline of one minute, they took 60 MB.
         """
-        self._cancelled += 1
+        self._cancelled_count += 1
         timers = self._timers
-        if self._cancelled > MIN_CANCELLED and (
-            self._cancelled > len(timers) // 2
+        if self._cancelled_count > MIN_CANCELLED_TIMERS and (
+            self._cancelled_count > len(timers) // 2
         ):
-            self._cancelled = 0
-            # In place: the loop may be looking at this very list.
+            self._cancelled_count = 0
+            # Modify in place: `_run_due_timers` may hold this list.
             timers[:] = [item for item in timers if item[2].callback]
             heapq.heapify(timers)
 
@@ -336,12 +341,13 @@
         *,
         reuse_port: bool = False,
     ) -> Listener:
-        """Listen on `"ip:port"`; OSError if the address can't be had.
+        """Listen on `"ip:port"`; raise OSError if it cannot be bound.
 
-        With `reuse_port` other processes of the same user may listen there
-        too, and the kernel gives each new connection to one of them. The
-        socket is then only bound, until `open` is called: a process that is
-        not ready would refuse callers whom the others can serve.
+        With `reuse_port`, other processes of the same user can listen on the
+        same address, and the kernel assigns each new connection to one of
+        them. The socket is then only bound, and accepts connections after
+        `open` is called: a process that is not ready would otherwise refuse
+        callers that the other processes can serve.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -363,62 +369,65 @@
         timeout: float,
         on_open: Callable[[Stream | None], None],
     ) -> None:
-        """Connect within `timeout` seconds; calls back with None if not."""
-        _Connecting(
+        """Connect and call `on_open` with the stream, or with None on failure.
+
+        The attempt fails after `timeout` seconds.
+        """
+        _ConnectAttempt(
             reactor=self, address=address, timeout=timeout, on_open=on_open
         ).start()
 
     def watch(
         self, fd: int, mask: int, callback: Callable[[int], None]
     ) -> None:
-        """Call back with the epoll mask whenever the descriptor is ready."""
-        self._ready[fd] = callback
+        """Call `callback` with the epoll mask when the descriptor is ready."""
+        self._callbacks[fd] = callback
         self._epoll.register(fd, mask)
 
-    def change(self, fd: int, mask: int) -> None:
-        """Change what a watched descriptor waits for."""
+    def modify(self, fd: int, mask: int) -> None:
+        """Change the epoll mask of a watched descriptor."""
         self._epoll.modify(fd, mask)
 
     def unwatch(self, fd: int) -> None:
-        """Forget a descriptor; must come before it is closed."""
-        if self._ready.pop(fd, None) is not None:
+        """Stop watching a descriptor; call this before closing it."""
+        if self._callbacks.pop(fd, None) is not None:
             self._epoll.unregister(fd)
 
     def resume(self) -> None:
-        """End the wait early; the base library calls this on a signal."""
-        if self._waiting:
-            os.write(self._wake_out, b"\0")
+        """Interrupt the poll; circuits calls this on a signal."""
+        if self._polling:
+            os.write(self._wake_write_fd, b"\0")
 
     @handler("generate_events", priority=-9)
-    def _generate(self, event: Any) -> None:
+    def _on_generate_events(self, event: Any) -> None:
         event.stop()
-        self._turn(event.time_left)
+        self._poll_once(event.time_left)
         root = self.root
-        # Going back to the base library after each turn costs the dispatch
-        # of an event, which nobody needs while no event has been fired.
+        # Returning to circuits after each poll costs the dispatch of an event.
+        # Poll again directly as long as no event is queued.
         while not len(root) and event.time_left < 0 and root.running:
-            self._turn(-1)
+            self._poll_once(-1)
 
-    def _turn(self, time_left: float) -> None:
-        timeout = self._wait_time(time_left)
-        find = self._ready.get
-        self._waiting = True
+    def _poll_once(self, time_left: float) -> None:
+        timeout = self._poll_timeout(time_left)
+        get_callback = self._callbacks.get
+        self._polling = True
         ready = self._epoll.poll(timeout, MAX_EVENTS)
-        self._waiting = False
+        self._polling = False
         for fd, mask in ready:
-            callback = find(fd)
+            callback = get_callback(fd)
             if callback is not None:
                 callback(mask)
         if self._timers:
-            self._run_due()
+            self._run_due_timers()
 
-    def _wait_time(self, time_left: float) -> float:
+    def _poll_timeout(self, time_left: float) -> float:
         if not self._timers:
             return time_left
         due = max(0.0, self._timers[0][0] - self.now())
         return due if time_left < 0 else min(due, time_left)
 
-    def _run_due(self) -> None:
+    def _run_due_timers(self) -> None:
         now = self.now()
         timers = self._timers
         while timers and timers[0][0] <= now:
@@ -428,11 +437,11 @@
                 callback()
 
     def _drain_wake(self, mask: int) -> None:
-        os.read(self._wake_in, 4096)
+        os.read(self._wake_read_fd, 4096)
 
 
-class _Connecting:
-    """One attempt to connect."""
+class _ConnectAttempt:
+    """A pending outgoing connection."""
 
     def __init__(
         self,
@@ -452,35 +461,35 @@
     def start(self) -> None:
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._timer = self._reactor.call_later(self._timeout, self._failed)
+        self._timer = self._reactor.call_later(self._timeout, self._fail)
         try:
             code = self._sock.connect_ex(split_address(self._address))
         except (OSError, ValueError):
             code = errno.EINVAL
         if code not in (0, errno.EINPROGRESS):
-            # The caller gets its answer in a later turn in every case, so
-            # that it never has to cope with a call back from within.
+            # Report the failure in a later iteration, so that `on_open` is
+            # never called from within `connect`.
             self._timer.cancel()
-            self._timer = self._reactor.call_later(0, self._failed)
+            self._timer = self._reactor.call_later(0, self._fail)
             return
         self._reactor.watch(
-            self._sock.fileno(), select.EPOLLOUT, self._finished
+            self._sock.fileno(), select.EPOLLOUT, self._on_writable
         )
 
-    def _finished(self, mask: int) -> None:
+    def _on_writable(self, mask: int) -> None:
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code != 0:
-            self._failed()
+            self._fail()
             return
-        self._end()
+        self._release()
         self._on_open(Stream(reactor=self._reactor, sock=self._sock))
 
-    def _failed(self) -> None:
-        self._end()
+    def _fail(self) -> None:
+        self._release()
         self._sock.close()
         self._on_open(None)
 
-    def _end(self) -> None:
+    def _release(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._reactor.unwatch(self._sock.fileno())
--- a/bamboospring/rotation.py
+++ b/bamboospring/rotation.py
@@ -1,7 +1,7 @@
-"""Take new keys, tokens and the level of logs without a restart.
+"""Reload keys, tokens and the log level without a restart.
 
-On SIGHUP the settings file is read again. What it says is taken as a whole or
-not at all: a file with a fault changes nothing and is logged.
+On SIGHUP the settings file is reloaded, and its new values apply all together
+or not at all: an invalid file is logged and changes nothing.
 """
 
 from __future__ import annotations
@@ -23,14 +23,15 @@
 
 __all__ = ["Rotation"]
 
-Apply = Callable[[Any], None]
+SettingsListener = Callable[[Any], None]
 
-# Seconds between two looks at a settings file that may change silently.
-FOLLOW_INTERVAL = 2.0
+# Seconds between two checks of a settings file that may change without a
+# signal.
+POLL_INTERVAL = 2.0
 
 
 class Rotation:
-    """Read the settings again and hand them to whoever can take them."""
+    """Reload the settings and pass them to the registered listeners."""
 
     def __init__(
         self,
@@ -42,30 +43,32 @@
         self._reactor = reactor
         self._path = path
         self._load = load
-        self._seen: str | None = None
-        self._keys: list[tuple[Keys, Callable[[Settings], Tls | None]]] = []
-        self._apply: list[Apply] = []
+        self._last_text: str | None = None
+        self._credentials: list[
+            tuple[Keys, Callable[[Settings], Tls | None]]
+        ] = []
+        self._listeners: list[SettingsListener] = []
 
     def add_keys(
-        self, keys: Keys, find: Callable[[Settings], Tls | None]
+        self, keys: Keys, select: Callable[[Settings], Tls | None]
     ) -> None:
-        """Replace `keys` by the files that `find` picks from the settings."""
-        self._keys.append((keys, find))
+        """Reload `keys` from the files that `select` returns for settings."""
+        self._credentials.append((keys, select))
 
-    def add(self, apply: Apply) -> None:
-        """Call `apply` with new settings; it must not fail."""
-        self._apply.append(apply)
+    def add(self, listener: SettingsListener) -> None:
+        """Call `listener` with reloaded settings; it must not raise."""
+        self._listeners.append(listener)
 
     def install(self) -> None:
-        """Listen for SIGHUP from now on."""
+        """Reload the settings on SIGHUP."""
         signal.signal(signal.SIGHUP, self._on_signal)
 
     def read_again(self) -> bool:
-        """Take what the file says now; False if it can't be used."""
+        """Reload the settings file; return False if it is invalid."""
         try:
             cfg = self._load(self._path)
-            for keys, find in self._keys:
-                tls = find(cfg)
+            for keys, select in self._credentials:
+                tls = select(cfg)
                 if tls is not None:
                     keys.read_again(tls)
         except SettingsError as exc:
@@ -73,21 +76,21 @@
                 "settings_refused", level=logs.Level.ERROR, reason=str(exc)
             )
             return False
-        for apply in self._apply:
-            apply(cfg)
+        for listener in self._listeners:
+            listener(cfg)
         ids = [key.id for key in getattr(cfg, "token_keys", ())]
         logs.log_event("settings_taken", keys=ids)
         return True
 
     def follow(self) -> None:
-        """Look at the file now and then: it may change without a signal."""
-        text = self._text()
-        if self._seen is not None and text not in (None, self._seen):
+        """Check the file periodically: it may change without a signal."""
+        text = self._read_text()
+        if self._last_text is not None and text not in (None, self._last_text):
             self.read_again()
-        self._seen = text if text is not None else self._seen
-        self._reactor.call_later(FOLLOW_INTERVAL, self.follow)
+        self._last_text = text if text is not None else self._last_text
+        self._reactor.call_later(POLL_INTERVAL, self.follow)
 
-    def _text(self) -> str | None:
+    def _read_text(self) -> str | None:
         try:
             return Path(self._path).read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as exc:
@@ -99,10 +102,10 @@
             return None
 
     def _on_signal(self, number: int, frame: Any) -> None:
-        # In a signal handler anything may be half done; the work is left to
-        # the loop, which is woken.
-        self._reactor.call_later(0, self._read_now)
+        # A signal handler can interrupt any operation halfway, so wake the
+        # event loop and reload there.
+        self._reactor.call_later(0, self._reload_now)
         self._reactor.resume()
 
-    def _read_now(self) -> None:
+    def _reload_now(self) -> None:
         self.read_again()
--- a/bamboospring/tls.py
+++ b/bamboospring/tls.py
@@ -1,9 +1,9 @@
-"""TLS over the reactor's streams, by the standard library.
+"""TLS over the reactor's streams, with the standard library's `ssl`.
 
-`secured` returns something that listens and connects like the reactor but
-whose streams are encrypted, so that neither the HTTP nor the peer protocol
-knows of TLS. Only TLS 1.3 is spoken: it has no renegotiation, so a write never
-has to wait for a read.
+`secured` returns an object with the interface of the reactor whose streams are
+encrypted, so that the HTTP and peer protocols need no code for TLS. Only
+TLS 1.3 is supported: it has no renegotiation, so a write never has to wait for
+a read.
 """
 
 from __future__ import annotations
@@ -23,48 +23,50 @@
 
 __all__ = ["Keys", "secured"]
 
-# The most that one record holds; each read sets aside so much.
-READ_SIZE = 16384
-# A connection that begins no handshake would hold its memory for ever.
+# The maximum plaintext size of a TLS record; each read allocates as much.
+MAX_RECORD_BYTES = 16384
+# Seconds. A connection that never starts a handshake would otherwise keep its
+# memory forever.
 HANDSHAKE_TIMEOUT = 5.0
 
 OnStream = Callable[[Stream | None], None]
 
 
 class Keys:
-    """The keys of one side, read from files and replaceable at any time.
+    """The TLS keys and certificates of one side; they can be reloaded.
 
-    With `check_name` the other side's certificate must name the IP number
-    that we connect to. Between the system's own processes the authority alone
-    tells: VMs are replaced daily, and it signs for nobody else.
+    With `check_name`, the server's certificate must contain the IP address
+    that the client connects to. Connections between VMs of the system only
+    check the certificate authority: VMs are replaced daily, and the authority
+    signs only certificates of the system.
     """
 
     def __init__(self, *, tls: Tls, check_name: bool) -> None:
         self._check_name = check_name
-        self.server = _server_context(tls)
-        self.client = _client_context(tls, check_name)
+        self.server = _make_server_context(tls)
+        self.client = _make_client_context(tls, check_name)
 
     def read_again(self, tls: Tls) -> None:
-        """Take the keys that are in the files now, for new connections.
+        """Reload the key files for new connections.
 
-        Raise `SettingsError` and change nothing if they cannot be used.
+        Raise `SettingsError` and change nothing if the files are invalid.
         """
-        server = _server_context(tls)
-        client = _client_context(tls, self._check_name)
+        server = _make_server_context(tls)
+        client = _make_client_context(tls, self._check_name)
         self.server = server
         self.client = client
 
 
 def secured(reactor: Reactor, keys: Keys | None) -> Reactor:
-    """Return the reactor itself without keys, else one that speaks TLS."""
+    """Return a reactor that uses TLS, or `reactor` itself without keys."""
     if keys is None:
         return reactor
-    # It has those of the reactor's methods that servers and clients call.
-    return cast(Reactor, _SecuredReactor(reactor=reactor, keys=keys))
+    # _TlsReactor implements the methods that servers and clients call.
+    return cast(Reactor, _TlsReactor(reactor=reactor, keys=keys))
 
 
-class _SecuredReactor:
-    """Listens and connects through TLS; time is the reactor's."""
+class _TlsReactor:
+    """Listen and connect with TLS; timers are those of the reactor."""
 
     def __init__(self, *, reactor: Reactor, keys: Keys) -> None:
         self._reactor = reactor
@@ -109,7 +111,7 @@
 
 
 class _TlsStream:
-    """A stream that encrypts what it is given; used like `Stream`."""
+    """An encrypted stream with the interface of `Stream`."""
 
     __slots__ = (
         "_incoming",
@@ -141,39 +143,39 @@
         self._timer: Timer | None = reactor.call_later(
             HANDSHAKE_TIMEOUT, stream.abort
         )
-        stream.on_data = self._received
-        stream.on_close = self._closed
-        self._shake_hands()
+        stream.on_data = self._on_encrypted_data
+        stream.on_close = self._on_stream_closed
+        self._do_handshake()
 
     @property
     def closed(self) -> bool:
-        """Tell whether nothing can be sent any more."""
+        """Return whether the stream is closed."""
         return self._stream.closed
 
     @property
     def closing(self) -> bool:
-        """Tell whether it closes once all has been sent."""
+        """Return whether the stream closes once all output has been sent."""
         return self._stream.closing
 
     def send(self, data: bytes) -> None:
-        """Encrypt and send; what a closed stream is given is dropped."""
+        """Encrypt and send the data; discard it if the stream is closed."""
         if data and not self.closed and not self.closing:
             self._tls.write(data)
             self._flush()
 
     def close(self) -> None:
-        """Say that nothing follows, and close once all has been sent."""
+        """Send a TLS close_notify, and close once all output has been sent."""
         if not self.closed and not self.closing:
             try:
                 self._tls.unwrap()
             except ssl.SSLError:
-                # The other side's farewell has not come; it need not.
+                # The peer's close_notify has not arrived; it is not required.
                 pass
             self._flush()
         self._stream.close()
 
     def abort(self) -> None:
-        """Close now; queued output is lost."""
+        """Close the stream at once and discard buffered output."""
         self._stream.abort()
 
     def pause(self) -> None:
@@ -181,21 +183,21 @@
         self._stream.pause()
 
     def resume(self) -> None:
-        """Read again after `pause`."""
+        """Resume reading after `pause`."""
         self._stream.resume()
 
     def peer_address(self) -> str:
-        """Return the other end as `"ip:port"`."""
+        """Return the peer's `"ip:port"`, or "" if it is disconnected."""
         return self._stream.peer_address()
 
-    def _received(self, data: bytes) -> None:
+    def _on_encrypted_data(self, data: bytes) -> None:
         self._incoming.write(data)
         if self._on_open is not None:
-            self._shake_hands()
+            self._do_handshake()
         if self._on_open is None:
-            self._read()
+            self._read_decrypted()
 
-    def _shake_hands(self) -> None:
+    def _do_handshake(self) -> None:
         try:
             self._tls.do_handshake()
         except ssl.SSLWantReadError:
@@ -208,22 +210,22 @@
                 peer=self.peer_address(),
                 reason=exc.reason or type(exc).__name__,
             )
-            # The alert tells the other side why.
+            # Send the TLS alert, which tells the peer the reason.
             self._flush()
             self._stream.close()
             return
         self._flush()
-        self._opened(self)
+        self._finish_opening(self)
 
-    def _read(self) -> None:
+    def _read_decrypted(self) -> None:
         while not self.closed:
             try:
-                data = self._tls.read(READ_SIZE)
+                data = self._tls.read(MAX_RECORD_BYTES)
             except ssl.SSLWantReadError:
                 self._flush()
                 return
             except ssl.SSLError:
-                # Broken records, or the other side's farewell.
+                # Invalid records, or the peer's close_notify.
                 self._stream.close()
                 return
             if not data:
@@ -236,7 +238,7 @@
         if self._outgoing.pending:
             self._stream.send(self._outgoing.read())
 
-    def _opened(self, stream: _TlsStream | None) -> None:
+    def _finish_opening(self, stream: _TlsStream | None) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -244,30 +246,30 @@
         if on_open is not None:
             on_open(cast("Stream | None", stream))
 
-    def _closed(self) -> None:
-        # Without a finished handshake nobody knows of this stream yet.
-        self._opened(None)
+    def _on_stream_closed(self) -> None:
+        # If the handshake did not finish, `on_open` has not been called yet.
+        self._finish_opening(None)
         on_close, self.on_close, self.on_data = self.on_close, None, None
         if on_close is not None:
             on_close()
 
 
-def _server_context(tls: Tls) -> ssl.SSLContext:
-    context = _context(ssl.PROTOCOL_TLS_SERVER, tls)
-    # Resumption would keep state for connections that have ended.
+def _make_server_context(tls: Tls) -> ssl.SSLContext:
+    context = _make_context(ssl.PROTOCOL_TLS_SERVER, tls)
+    # Session resumption would keep state of closed connections.
     context.num_tickets = 0
     if tls.authority:
         context.verify_mode = ssl.CERT_REQUIRED
     return context
 
 
-def _client_context(tls: Tls, check_name: bool) -> ssl.SSLContext:
-    context = _context(ssl.PROTOCOL_TLS_CLIENT, tls)
+def _make_client_context(tls: Tls, check_name: bool) -> ssl.SSLContext:
+    context = _make_context(ssl.PROTOCOL_TLS_CLIENT, tls)
     context.check_hostname = check_name
     return context
 
 
-def _context(protocol: int, tls: Tls) -> ssl.SSLContext:
+def _make_context(protocol: int, tls: Tls) -> ssl.SSLContext:
     context = ssl.SSLContext(protocol)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     path = tls.certificate
