--- a/bamboospring/plain_json.py
+++ b/bamboospring/plain_json.py
@@ -1,8 +1,9 @@
-"""Read plain JSON under lines of comments, with nothing but the library.
+"""Parse plain JSON with comment lines, with the standard library only.
 
-Most settings files are that and no more. What is read here means the same in
-the full grammar of `json_source`, which also says where a fault stands; its
-parser takes 40 ms to load, and callers wait while a VM starts.
+Most settings files need no more than that. Such a text has the same meaning in
+the full grammar of `json_source`, which also reports the position of an error.
+The json5 parser of that module takes 40 ms to load, and callers wait while a
+VM starts.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 def parse_plain(text: str) -> Any:
-    """Return the data in a text; ValueError if it is anything but plain."""
+    """Return the data in `text`; raise ValueError if it is not plain JSON."""
     plain = "\n".join(
         "" if line.lstrip().startswith(COMMENT) else line
         for line in text.split("\n")
@@ -24,19 +25,19 @@
     try:
         return json.loads(
             plain,
-            object_pairs_hook=_without_repetition,
-            parse_constant=_no_constant,
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
         )
     except RecursionError:
-        raise ValueError("nested too deep") from None
+        raise ValueError("nested too deeply") from None
 
 
-def _without_repetition(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) < len(pairs):
-        raise ValueError("a key stands twice")
+        raise ValueError("duplicate key")
     return found
 
 
-def _no_constant(text: str) -> Any:
-    raise ValueError(f"{text} is no number of JSON")
+def _reject_constant(text: str) -> Any:
+    raise ValueError(f"{text} is not a JSON number")
--- a/bamboospring/settings.py
+++ b/bamboospring/settings.py
@@ -1,13 +1,13 @@
-"""The settings of one process: JSON with comments, checked at the border.
+"""The settings of one process: a validated file of JSON with comments.
 
     cfg = load("vm-1.json")
     cfg.timing.suspect_ms
 
-Every duration is in milliseconds and its key ends in `_ms`; every share is
-in percent and ends in `_percent`.
-Addresses are `"ip:port"` texts with IP numbers; port 0 in a `listen` asks
-the operating system for a free one. The reference page docs/SETTINGS.md is
-generated from this module by `bamboospring check --reference`.
+Durations are in milliseconds, with keys that end in `_ms`; shares are in
+percent, with keys that end in `_percent`. Addresses are strings of the form
+`"ip:port"` with an IP address; port 0 in a `listen` lets the operating system
+choose a free port. `bamboospring check --reference` generates the reference
+page docs/SETTINGS.md from this module.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 ]
 
 
-def _count(default: int, low: int, high: int, description: str) -> Any:
+def _count_field(default: int, low: int, high: int, description: str) -> Any:
     return Field(
         default=default,
         ge=low,
@@ -71,7 +71,7 @@
     )
 
 
-def _bytes(default: int, low: int, high: int, description: str) -> Any:
+def _bytes_field(default: int, low: int, high: int, description: str) -> Any:
     return Field(
         default=default,
         ge=low,
@@ -95,7 +95,7 @@
     )
 
     @model_validator(mode="after")
-    def _says_plain_text(self) -> "_Listener":
+    def _check_transport(self) -> "_Listener":
         _check_plain_text(self.listen, self.tls, self.plain_text)
         return self
 
@@ -135,9 +135,11 @@
     )
 
     @model_validator(mode="after")
-    def _names_main(self) -> "EntryOnly":
+    def _check_main_process(self) -> "EntryOnly":
         if self.only and not (self.of and self.main):
-            raise ValueError("only needs of and main, the VM's main process")
+            raise ValueError(
+                "only requires of and main, the VM's main process"
+            )
         return self
 
 
@@ -152,11 +154,11 @@
     )
 
     @model_validator(mode="after")
-    def _authenticates(self) -> "Peers":
+    def _check_authority(self) -> "Peers":
         if self.tls is not None and not self.tls.authority:
             raise ValueError(
-                "tls between processes needs authority: without it any "
-                "program could pass for one of the system's own"
+                "tls between processes requires authority: without it any "
+                "program could impersonate a process of the system"
             )
         return self
 
@@ -184,7 +186,7 @@
     )
 
     @model_validator(mode="after")
-    def _says_plain_text(self) -> "Platform":
+    def _check_transport(self) -> "Platform":
         _check_plain_text(self.address, self.tls, self.plain_text)
         return self
 
@@ -216,16 +218,16 @@
 class Limits(Section):
     """Bounds on what one process takes on."""
 
-    queue_length: int = _count(
+    queue_length: int = _count_field(
         256, 1, 100_000, "Statements that wait for a slot, for each group."
     )
-    request_head_bytes: int = _bytes(
+    request_head_bytes: int = _bytes_field(
         16_384,
         1_024,
         65_536,
         "Longest line and headers of a caller's request.",
     )
-    request_body_bytes: int = _bytes(
+    request_body_bytes: int = _bytes_field(
         1_048_576, 1_024, 2_097_152, "Longest body of a caller's request."
     )
     retry_percent: float = percent(
@@ -344,10 +346,10 @@
     )
 
     @model_validator(mode="after")
-    def _pairs(self) -> "Timing":
-        _ordered(self, "backoff_ms", "longest_backoff_ms")
-        _ordered(self, "share_isolation_ms", "share_grace_ms")
-        _ordered(self, "drain_notice_ms", "drain_ms")
+    def _check_ordered_pairs(self) -> "Timing":
+        _check_ordered(self, "backoff_ms", "longest_backoff_ms")
+        _check_ordered(self, "share_isolation_ms", "share_grace_ms")
+        _check_ordered(self, "drain_notice_ms", "drain_ms")
         return self
 
 
@@ -459,29 +461,29 @@
 
     @field_validator("entry")
     @classmethod
-    def _has_own_name(cls, value: EntryOnly, info: Any) -> EntryOnly:
+    def _check_unique_name(cls, value: EntryOnly, info: Any) -> EntryOnly:
         if value.only and value.of == info.data.get("vm"):
             raise ValueError(
-                f"of is this process's own vm, {value.of}: each process "
-                "needs a name of its own"
+                f"of is the vm of this process, {value.of}: each process "
+                "needs a unique name"
             )
         return value
 
     @field_validator("peers", "operators")
     @classmethod
-    def _has_own_address(cls, value: _Listener, info: Any) -> _Listener:
+    def _check_unique_address(cls, value: _Listener, info: Any) -> _Listener:
         taken = [
             info.data[name].listen
             for name in ("callers", "peers")
             if name in info.data
         ]
         if value.listen in taken and not value.listen.endswith(":0"):
-            raise ValueError(f"another listener has {value.listen} already")
+            raise ValueError(f"another listener already uses {value.listen}")
         return value
 
     @field_validator("token_keys")
     @classmethod
-    def _has_own_ids(cls, keys: list[TokenKey]) -> list[TokenKey]:
+    def _check_unique_key_ids(cls, keys: list[TokenKey]) -> list[TokenKey]:
         ids = [key.id for key in keys]
         if len(set(ids)) < len(ids):
             raise ValueError("two keys have the same id")
@@ -489,18 +491,18 @@
 
 
 def load(path: str | Path) -> Settings:
-    """Return the settings in a file; raise `SettingsError` if unusable."""
+    """Return the settings of a file; raise `SettingsError` if invalid."""
     return load_as(Settings, path)
 
 
 def parse(text: str, *, name: str = "settings") -> Settings:
-    """Return the settings in a text; `name` stands for it in errors."""
+    """Return the settings in `text`; `name` is the file name in errors."""
     return parse_as(Settings, text, name=name)
 
 
 def _check_plain_text(address: str, tls: Tls | None, plain: bool) -> None:
     if tls is not None and plain:
-        raise ValueError("tls and plain_text exclude each other")
+        raise ValueError("tls and plain_text are mutually exclusive")
     if tls is not None or plain:
         return
     host, _ = split_address(address)
@@ -510,8 +512,8 @@
         )
 
 
-def _ordered(section: BaseModel, low: str, high: str) -> None:
-    least = getattr(section, low)
-    most = getattr(section, high)
-    if least > most:
-        raise ValueError(f"{low} ({least}) is more than {high} ({most})")
+def _check_ordered(section: BaseModel, low_key: str, high_key: str) -> None:
+    low = getattr(section, low_key)
+    high = getattr(section, high_key)
+    if low > high:
+        raise ValueError(f"{low_key} ({low}) is more than {high_key} ({high})")
--- a/bamboospring/settings_base.py
+++ b/bamboospring/settings_base.py
@@ -1,8 +1,8 @@
-"""What all settings files share: fields with units, checks and reading.
+"""Code shared by all settings files: fields with units, checks and loading.
 
-A section is a validated model; `load_as` reads a file of JSON with comments
-by the model given. The sections here are those that more than one program
-has.
+A section is a validated model. `load_as` reads a file of JSON with comments
+and validates it with a model. The sections in this module are used by more
+than one program.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
     "split_address",
 ]
 
-SHORTEST_SECRET = 16
+MIN_SECRET_LENGTH = 16
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Return the IP number and port of `"127.0.0.1:80"` or `"[::1]:80"`.
+    """Return the IP address and port of `"127.0.0.1:80"` or `"[::1]:80"`.
 
-    Raise `ValueError` with a plain text if it is neither.
+    Raise `ValueError` with a message for the user if the text is invalid.
     """
     host, colon, port = text.rpartition(":")
     if not colon:
@@ -53,19 +53,19 @@
     try:
         ip = ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        raise ValueError(f"{host!r} is not an IP number") from None
+        raise ValueError(f"{host!r} is not an IP address") from None
     if not (port.isascii() and port.isdigit() and int(port) < 65536):
         raise ValueError(f"{port!r} is not a port from 0 to 65535")
     return str(ip), int(port)
 
 
-def _checked_address(text: str) -> str:
+def _validate_address(text: str) -> str:
     split_address(text)
     return text
 
 
 def milliseconds(default: int, low: int, high: int, description: str) -> Any:
-    """Return the field of a duration; its key ends in `_ms`."""
+    """Return a field for a duration in ms; its key must end in `_ms`."""
     return Field(
         default=default,
         ge=low,
@@ -76,7 +76,7 @@
 
 
 def percent(default: float, low: float, high: float, description: str) -> Any:
-    """Return the field of a share; its key ends in `_percent`."""
+    """Return a field for a share; its key must end in `_percent`."""
     return Field(
         default=default,
         ge=low,
@@ -86,12 +86,12 @@
     )
 
 
-Address = Annotated[str, AfterValidator(_checked_address)]
-Secret = Annotated[str, Field(min_length=SHORTEST_SECRET, repr=False)]
+Address = Annotated[str, AfterValidator(_validate_address)]
+Secret = Annotated[str, Field(min_length=MIN_SECRET_LENGTH, repr=False)]
 
 
 class Section(BaseModel):
-    """A part of the settings: unknown keys and wrong types are faults."""
+    """A section of the settings; unknown keys and wrong types are errors."""
 
     model_config = ConfigDict(
         extra="forbid", strict=True, frozen=True, str_strip_whitespace=False
@@ -137,7 +137,7 @@
     )
 
     @model_validator(mode="after")
-    def _pairs(self) -> "Lease":
+    def _check_durations(self) -> "Lease":
         if self.renew_ms + self.margin_ms >= self.duration_ms:
             raise ValueError(
                 f"renew_ms ({self.renew_ms}) and margin_ms "
@@ -158,7 +158,7 @@
 
 
 def load_as(model: type[SectionT], path: str | Path) -> SectionT:
-    """Return a file's settings by a model; `SettingsError` if unusable."""
+    """Return the settings of a file; raise `SettingsError` if invalid."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -167,12 +167,12 @@
 
 
 def parse_as(model: type[SectionT], text: str, *, name: str) -> SectionT:
-    """Return a text's settings by a model; raise `SettingsError` if not."""
-    quickly = _parse_quickly(model, text)
-    if quickly is not None:
-        return quickly
-    # Loaded only for a file with a fault or with rarer grammar: callers of a
-    # VM that starts would wait for the parser to be loaded.
+    """Return the settings in `text`; raise `SettingsError` if invalid."""
+    parsed = _parse_plain_settings(model, text)
+    if parsed is not None:
+        return parsed
+    # Import late, only for a file with an error or with other JSON5 syntax:
+    # loading the parser delays the start of a VM, and callers wait for it.
     from bamboospring import json_source
     from bamboospring.settings_faults import first_fault
 
@@ -188,10 +188,11 @@
         raise first_fault(exc, data, name=name, model=model) from exc
 
 
-def _parse_quickly(model: type[SectionT], text: str) -> SectionT | None:
-    """Return the settings in a plain text without a fault, else None."""
+def _parse_plain_settings(model: type[SectionT], text: str) -> SectionT | None:
+    """Return the settings of valid plain JSON, or None."""
     try:
         return model.model_validate(parse_plain(text))
     except ValueError:
-        # Also a fault found by the model: the full parser says what and where.
+        # The model may also have found an error, which the full parser then
+        # reports with its position.
         return None
--- a/bamboospring/settings_faults.py
+++ b/bamboospring/settings_faults.py
@@ -1,4 +1,4 @@
-"""Say what is wrong in a settings file, and where."""
+"""Report the errors of a settings file with their positions."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from bamboospring.errors import SettingsError
 from bamboospring import json_source
 
-__all__ = ["first_fault", "model_in"]
+__all__ = ["first_fault", "nested_model"]
 
-NEAR_ENOUGH = 0.6
+SUGGESTION_CUTOFF = 0.6
 
 
 def first_fault(
     exc: ValidationError, data: Any, *, name: str, model: type[BaseModel]
 ) -> SettingsError:
-    """Return the first fault in the file's order, which holds the others.
+    """Return the first error in the order of the file, with all others.
 
-    `data` is what `json_source.parse` gave and `model` what it was checked
-    against.
+    `data` is the result of `json_source.parse`, and `model` is the model that
+    rejected it.
     """
     faults = _faults(exc, data, name, model)
     first, *others = sorted(faults, key=lambda each: (each.line, each.column))
@@ -63,14 +63,14 @@
             text = str(error["ctx"]["error"])
             return f"{dotted}: {text}" if dotted else text
         case "int_type" | "float_type" | "int_from_float":
-            unit = _unit(str(path[-1]))
+            unit = _unit_phrase(str(path[-1]))
             return f"{dotted} must be a number{unit}, not {error['input']!r}"
         case _:
             text = error["msg"]
             return f"{dotted}: {text[:1].lower()}{text[1:]}"
 
 
-def _unit(key: str) -> str:
+def _unit_phrase(key: str) -> str:
     if key.endswith("_ms"):
         return " of milliseconds without a unit"
     if key.endswith("_percent"):
@@ -82,13 +82,13 @@
 
 def _suggestion(path: Sequence[str | int], model: type[BaseModel]) -> str:
     known = _known_keys(path[:-1], model)
-    near = difflib.get_close_matches(
-        str(path[-1]), known, n=1, cutoff=NEAR_ENOUGH
+    matches = difflib.get_close_matches(
+        str(path[-1]), known, n=1, cutoff=SUGGESTION_CUTOFF
     )
-    if not near:
+    if not matches:
         return ""
-    unit = _unit(near[0])
-    return f"; is {near[0]} meant{unit and f', a number{unit}'}?"
+    unit = _unit_phrase(matches[0])
+    return f"; did you mean {matches[0]}{unit and f', a number{unit}'}?"
 
 
 def _known_keys(
@@ -98,18 +98,18 @@
         field = model.model_fields.get(str(step))
         if field is None:
             continue
-        inner = model_in(field.annotation)
+        inner = nested_model(field.annotation)
         if inner is not None:
             model = inner
     return list(model.model_fields)
 
 
-def model_in(annotation: Any) -> type[BaseModel] | None:
-    """Return the model that an annotation holds, as in `list[Model]`."""
+def nested_model(annotation: Any) -> type[BaseModel] | None:
+    """Return the model within an annotation such as `list[Model]`, or None."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
     for part in get_args(annotation):
-        found = model_in(part)
+        found = nested_model(part)
         if found is not None:
             return found
     return None
--- a/bamboospring/settings_reference.py
+++ b/bamboospring/settings_reference.py
@@ -1,4 +1,4 @@
-"""Write the reference page of all settings from their models."""
+"""Generate the reference page of all settings from their models."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from bamboospring.sessions.settings import SessionSettings
 from bamboospring.settings import Settings
-from bamboospring.settings_faults import model_in
+from bamboospring.settings_faults import nested_model
 
 __all__ = ["page"]
 
@@ -38,7 +38,7 @@
 be used changes nothing and is logged. All other keys need a restart.
 """
 
-SESSIONS = """## A VM that serves sessions
+SESSIONS_INTRODUCTION = """## A VM that serves sessions
 
 What `bamboospring serve-sessions --settings FILE` reads; `bamboospring check
 --sessions FILE` checks it. The file is read again on SIGHUP and when it has
@@ -50,7 +50,7 @@
     """Return the reference page in Markdown."""
     parts = [INTRODUCTION]
     parts.extend(_sections(Settings, ""))
-    parts.append(SESSIONS)
+    parts.append(SESSIONS_INTRODUCTION)
     parts.extend(_sections(SessionSettings, "", level="###"))
     return "\n".join(parts)
 
@@ -61,15 +61,15 @@
     yield _heading(model, prefix, level)
     yield "| key | type | unit | default | bounds | meaning |"
     yield "|---|---|---|---|---|---|"
-    inner = []
+    nested_sections = []
     for name, field in model.model_fields.items():
         yield _row(name, field)
-        below = model_in(field.annotation)
-        if below is not None:
-            inner.append((below, _path(prefix, name, field)))
+        nested = nested_model(field.annotation)
+        if nested is not None:
+            nested_sections.append((nested, _path(prefix, name, field)))
     yield ""
-    for below, path in inner:
-        yield from _sections(below, path, level)
+    for nested, path in nested_sections:
+        yield from _sections(nested, path, level)
 
 
 def _heading(model: type[BaseModel], prefix: str, level: str) -> str:
@@ -140,7 +140,7 @@
 
 
 def _type_name(annotation: Any) -> str:
-    model = model_in(annotation)
+    model = nested_model(annotation)
     origin = get_origin(annotation)
     if origin is list:
         return "list of sections"
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -31,7 +31,7 @@
     "timing": settings.Timing,
 }
 TEXT = """{
-  // One VM, as short as it can be.
+  // The shortest valid settings of a VM.
   "vm": "vm-1", "availability_zone": "zone-a",
   "callers": {"listen": "127.0.0.1:8001"},
   "peers": {"listen": "127.0.0.1:9001"},
@@ -48,14 +48,14 @@
     context.settings_text = TEXT
 
 
-@given("its line {line:d} is replaced by {text}")
+@given("line {line:d} of the settings is replaced by {text}")
 def step_replace_line(context: Any, line: int, text: str) -> None:
     lines = context.settings_text.splitlines()
     lines[line - 1] = "  " + text
     context.settings_text = "\n".join(lines)
 
 
-@then("the settings can be used")
+@then("the settings are valid")
 def step_usable(context: Any) -> None:
     context.settings = settings.parse(context.settings_text)
 
@@ -67,7 +67,8 @@
 
 
 @then(
-    "loading it fails at line {line:d}, column {column:d} " 'with "{message}"'
+    "loading them fails at line {line:d}, column {column:d} "
+    'with "{message}"'
 )
 def step_fails(context: Any, line: int, column: int, message: str) -> None:
     try:
@@ -75,7 +76,7 @@
     except SettingsError as exc:
         faults = [exc, *exc.others]
     else:
-        raise AssertionError("it was taken")
+        raise AssertionError("the settings were accepted")
     found = [(each.line, each.column, each.message) for each in faults]
     assert any(
         (at, place) == (line, column) and message in text
@@ -83,7 +84,7 @@
     ), found
 
 
-@then('"bamboospring check" ends with 1 and shows faults in lines 4 and 8')
+@then('"bamboospring check" exits with 1 and reports errors in lines 4 and 8')
 def step_check(context: Any) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "vm.json"
@@ -166,15 +167,17 @@
             assert f"| `{json.dumps(field.default)}` |" in page, name
 
 
-@given("a VM that takes heads of 2 KB and bodies of 3 KB within half a second")
+@given(
+    "a VM that accepts heads of 2 KB and bodies of 3 KB within half a second"
+)
 def step_bounded(context: Any) -> None:
     bounds = {"request_head_bytes": 2048, "request_body_bytes": 3072}
     timing = {"request_timeout_ms": 500}
     start_estate(context, vms=1, settings={"limits": bounds, "timing": timing})
 
 
-def _request(head: int, body: int) -> bytes:
-    """Return a request for a session of so many bytes, near enough."""
+def _session_request(head: int, body: int) -> bytes:
+    """Return a session request with a head and body of about these sizes."""
     text = json.dumps({"caller": "c"}).ljust(body)
     lines = f"POST /v1/sessions HTTP/1.1\r\nContent-Length: {body}\r\nX: "
     return (lines.ljust(head, "x") + "\r\n\r\n" + text).encode()
@@ -192,7 +195,7 @@
     "status {status:d}"
 )
 def step_request(context: Any, head: int, body: int, status: int) -> None:
-    found = _status_of(context, _request(head, body), 5)
+    found = _status_of(context, _session_request(head, body), 5)
     assert found == status, found
 
 
@@ -201,5 +204,5 @@
     "{seconds:d} seconds"
 )
 def step_stopped(context: Any, status: int, seconds: int) -> None:
-    found = _status_of(context, _request(100, 500)[:-50], seconds)
+    found = _status_of(context, _session_request(100, 500)[:-50], seconds)
     assert found == status, found
