--- a/bamboospring/__init__.py
+++ b/bamboospring/__init__.py
@@ -1,4 +1,4 @@
-"""A database proxy with session consistency for estates on the move."""
+"""A database proxy with session consistency."""
 
 __all__ = ["__version__"]
 
--- a/bamboospring/__main__.py
+++ b/bamboospring/__main__.py
@@ -1,4 +1,4 @@
-"""Let `python -m bamboospring` be the command."""
+"""Run the command line with `python -m bamboospring`."""
 
 from bamboospring.cli import main
 
--- a/bamboospring/cli.py
+++ b/bamboospring/cli.py
@@ -1,11 +1,10 @@
-"""The command line: one program for serving and for operating.
+"""The entry point of the command line, for serving and for operating.
 
-Exit codes: 0 done; 1 the answer is no (a check failed, an objective is
-missed); 2 the command was misused or its input is malformed; 3 something that
-the command needs cannot be reached.
+Exit codes: 0 success; 1 a check failed or an objective is missed; 2 wrong
+usage or malformed input; 3 a service that the command needs is unreachable.
 
-Every command imports what it needs when it runs, so that a serving process
-carries nothing of reports, plots or the command line itself.
+Each command imports its dependencies when it runs, so that a serving process
+does not load the code for reports, plots or the command line.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the command's exit status means."""
+    """The exit codes of the commands."""
 
     DONE = 0
     NO = 1
@@ -38,19 +37,19 @@
 
 
 def main() -> NoReturn:
-    """Run the command that the process's arguments name."""
+    """Run the command given in `sys.argv`."""
     match sys.argv[1:]:
-        # Typer and what it imports cost a serving process 1.7 MB (43.8 for
-        # 42.1 MB resident) for all its life, so that command goes past it.
+        # Bypass typer when serving: with its dependencies it takes 1.7 MB of
+        # resident memory (43.8 MB instead of 42.1 MB).
         case ["serve", "--settings", path]:
-            _leave_archive()
+            _restart_without_archive()
             sys.exit(serve(path))
         case _:
             _run_typer()
 
 
 def serve(path: str) -> int:
-    """Serve with the settings in a file until told to stop."""
+    """Serve with the settings file at `path` until the process is stopped."""
     from bamboospring import logs
     from bamboospring import settings
 
@@ -59,24 +58,24 @@
         logs.configure(level=cfg.logs.level, vm=cfg.vm)
         import_module("bamboospring.serve").run(cfg, path)
     except BamboospringError as exc:
-        return _complain(exc)
+        return _print_error(exc)
     return ExitCode.DONE
 
 
 def serve_sessions(path: str) -> int:
-    """Serve sessions on the users' platform until told to stop."""
+    """Serve sessions on the users' platform until the process is stopped."""
     try:
         import_module("bamboospring.platform.__main__").run(path)
     except BamboospringError as exc:
-        return _complain(exc)
+        return _print_error(exc)
     return ExitCode.DONE
 
 
-def _leave_archive() -> None:
-    """Go on without the code that unpacked this program, if any did.
+def _restart_without_archive() -> None:
+    """Replace the process image if the program was started from an archive.
 
-    It and the archive's directory would stay in memory, 4 MB of 62. The
-    process stays the same one; it only loads the interpreter anew.
+    The code that unpacked the archive and the archive's directory would
+    otherwise take 4 of 62 MB of memory. `exec` keeps the process id.
     """
     loader = getattr(sys.modules["__main__"], "__loader__", None)
     if not isinstance(loader, zipimporter):
@@ -86,7 +85,7 @@
     os.execve(sys.executable, command, {**os.environ, "PYTHONPATH": root})
 
 
-def _complain(exc: BamboospringError) -> ExitCode:
+def _print_error(exc: BamboospringError) -> ExitCode:
     print(f"bamboospring: {exc}", file=sys.stderr)
     for other in getattr(exc, "others", ()):
         print(f"bamboospring: {other}", file=sys.stderr)
@@ -102,5 +101,5 @@
 
 
 def version_text() -> str:
-    """Return the version as `bamboospring version` prints it."""
+    """Return the text that `bamboospring version` prints."""
     return f"bamboospring {__version__}"
--- a/bamboospring/commands.py
+++ b/bamboospring/commands.py
@@ -1,7 +1,7 @@
-"""The commands that operators type, declared with typer.
+"""The operators' commands, declared with typer.
 
-A command only reads its options and prints; what it does is in the module
-that it imports when it runs.
+The functions here only parse options and print. Each command imports the
+module with its implementation when it runs.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 
 __all__ = ["app"]
 
-STORY = """A database proxy with session consistency.
+HELP_TEXT = """A database proxy with session consistency.
 
 Each VM runs `bamboospring serve`. Callers send statements over HTTP to any
-VM and see their own writes through every other one. Operators move reads and
-writes between sites with `bamboospring table` and watch the fleet with
+VM and read their own writes through every other VM. Operators move reads and
+writes between sites with `bamboospring table` and monitor the fleet with
 `bamboospring status`.
 
-Begin with `bamboospring demo`: it starts a small fleet on this machine, runs
-real work through it and prints what came of it.
+To try it, run `bamboospring demo`: it starts a small fleet on this machine,
+runs a workload through it and prints the results.
 """
 
 Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
 def app() -> typer.Typer:
-    """Return the whole command line."""
+    """Return the typer application with all commands."""
     root = typer.Typer(
-        help=STORY,
+        help=HELP_TEXT,
         no_args_is_help=True,
         rich_markup_mode=None,
         pretty_exceptions_enable=False,
@@ -60,37 +60,38 @@
 
 def serve(
     settings: Annotated[
-        Path, typer.Option(help="Settings: JSON with comments.")
+        Path, typer.Option(help="Settings file (JSON with comments).")
     ],
 ) -> None:
-    """Serve on this VM until SIGTERM, which drains first.
+    """Serve on this VM until SIGTERM, which drains before it stops.
 
-    SIGHUP reads the settings again: keys, tokens and the level of logs change
-    without a restart.
+    SIGHUP reloads the settings: keys, tokens and the log level change without
+    a restart.
     """
     raise typer.Exit(cli.serve(str(settings)))
 
 
 def demo(
     scenario: Annotated[
-        str, typer.Option(help="carpatica or malabar.")
+        str, typer.Option(help="Scenario: carpatica or malabar.")
     ] = "carpatica",
     seconds: Annotated[
-        float, typer.Option(help="How long callers work.", min=1)
+        float, typer.Option(help="Seconds during which jobs start.", min=1)
     ] = 10.0,
     callers: Annotated[
-        int, typer.Option(help="How many work at once.", min=1, max=200)
+        int, typer.Option(help="Concurrent callers.", min=1, max=200)
     ] = 24,
     hold: Annotated[
-        float, typer.Option(help="Keep the fleet up so long afterwards.")
+        float, typer.Option(help="Seconds to keep the fleet running.")
     ] = 0.0,
     as_json: Json = False,
 ) -> None:
-    """Start a fleet on this machine, run real work through it, report.
+    """Start a fleet on this machine, run a workload and report the results.
 
-    Nine VMs, three database groups of three targets, four availability zones
-    and callers that roam between VMs, all as processes on loopback; nothing is
-    left running. Ends with 0 if every answer was right and the books balance.
+    Starts nine VMs and three database groups of three targets in four
+    availability zones, and callers that switch between VMs. All of them are
+    processes on loopback and stop with the command. Exits with 0 if every
+    answer was correct and all integrity checks pass.
     """
     run = import_module("bamboospring.demo").run
     code = run(
@@ -105,21 +106,21 @@
 
 def check(
     files: Annotated[
-        list[Path] | None, typer.Argument(help="Settings files.")
+        list[Path] | None, typer.Argument(help="Settings files to check.")
     ] = None,
     reference: Annotated[
         bool,
-        typer.Option("--reference", help="Print the page of all settings."),
+        typer.Option("--reference", help="Print the settings reference."),
     ] = False,
     sessions: Annotated[
         bool,
-        typer.Option("--sessions", help="Of VMs that serve sessions."),
+        typer.Option("--sessions", help="Files of serve-sessions VMs."),
     ] = False,
     as_json: Json = False,
 ) -> None:
-    """Check settings files, each fault with its line and column.
+    """Check settings files and print each error with its line and column.
 
-    Ends with 0 if all can be used, with 1 if one cannot.
+    Exits with 0 if all files are valid and with 1 otherwise.
     """
     if reference:
         from bamboospring import settings_reference
@@ -128,19 +129,21 @@
         return
     if not files:
         raise typer.BadParameter("name a settings file, or use --reference")
-    faults = [fault for path in files for fault in _faults(path, sessions)]
+    faults = [
+        fault for path in files for fault in _settings_faults(path, sessions)
+    ]
     if as_json:
         typer.echo(json.dumps([_fault_fields(each) for each in faults]))
     else:
         for fault in faults:
             typer.echo(str(fault), err=True)
         if not faults:
-            typer.echo("usable: " + ", ".join(str(path) for path in files))
+            typer.echo("valid: " + ", ".join(str(path) for path in files))
     raise typer.Exit(cli.ExitCode.NO if faults else cli.ExitCode.DONE)
 
 
 def version(as_json: Json = False) -> None:
-    """Print the version of the program and of the language."""
+    """Print the version; with --json also the version of Python."""
     if as_json:
         python = ".".join(str(part) for part in sys.version_info[:3])
         typer.echo(json.dumps({"version": __version__, "python": python}))
@@ -148,7 +151,7 @@
     typer.echo(cli.version_text())
 
 
-def _faults(path: Path, sessions: bool) -> list[SettingsError]:
+def _settings_faults(path: Path, sessions: bool) -> list[SettingsError]:
     from bamboospring.sessions.settings import SessionSettings
     from bamboospring.settings import load_as
     from bamboospring.settings import Settings
--- a/bamboospring/demo.py
+++ b/bamboospring/demo.py
@@ -1,9 +1,9 @@
-"""Bring up one user's whole estate, work with it, and check its books.
+"""Start the fleet of one scenario, run its jobs and check the stored data.
 
-The demo starts real processes on this machine: platform stand-in, target
-stand-ins and one `bamboospring serve` for each VM. Many callers run jobs
-and roam from entry to entry; at the end the books are checked directly at
-the targets, past the proxy.
+The demo starts real processes on this machine: simulators of the platform and
+of the targets, and one `bamboospring serve` for each VM. Many callers run jobs
+and switch between entries. At the end the integrity checks query the targets
+directly, without the proxy.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
 from bamboospring.testing.job_runner import JobRunner
 from bamboospring.testing.job_runner import RequestStats
 
-__all__ = ["Finding", "check_books", "run", "run_jobs"]
+__all__ = ["CheckResult", "check_integrity", "run", "run_jobs"]
 
 USAGE_ERROR = 2
-FINISH_SECONDS = 15.0
-CATCH_UP_SECONDS = 15.0
-KEYS_IN_ONE_QUERY = 400
+FINISH_TIMEOUT = 15.0
+CATCH_UP_TIMEOUT = 15.0
+MAX_KEYS_PER_QUERY = 400
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Finding:
-    """One check of the books at one target."""
+class CheckResult:
+    """The result of one integrity check at one target."""
 
     target: str
     name: str
-    wanted: int
+    expected: int
     found: int
 
     @property
-    def good(self) -> bool:
-        """Tell whether the books say what they have to."""
-        return self.wanted == self.found
+    def passed(self) -> bool:
+        """Return whether the check found the expected value."""
+        return self.expected == self.found
 
 
 def run(
@@ -56,44 +56,46 @@
     as_json: bool = False,
     hold: float = 0.0,
 ) -> int:
-    """Run a scenario and return the exit code: 0 if the books balance.
+    """Run a scenario and return the exit code: 0 if all checks pass.
 
-    `seconds` is for how long new jobs are started; begun ones are finished.
-    The fleet stays up for `hold` seconds more, to be looked at.
+    New jobs start for `seconds`; jobs that have started are finished. The
+    fleet then keeps running for `hold` seconds, so that it can be inspected.
     """
-    chosen = SCENARIOS.get(scenario)
-    if chosen is None:
+    selected = SCENARIOS.get(scenario)
+    if selected is None:
         known = ", ".join(SCENARIOS)
-        print(f"no scenario {scenario!r}; there are: {known}")
+        print(f"unknown scenario {scenario!r}; choose from: {known}")
         return USAGE_ERROR
-    _say(as_json, f"starting {_sizes(chosen)}")
-    with Fleet(topology=chosen.estate) as fleet:
+    _print_progress(as_json, f"starting {_describe_fleet(selected)}")
+    with Fleet(topology=selected.topology) as fleet:
         fleet.wait_serving()
-        _say(as_json, f"{callers} callers work for {seconds:g} s")
-        tally = run_jobs(fleet, chosen, seconds=seconds, callers=callers)
-        findings = check_books(fleet, chosen, tally)
-        report = _report(chosen, tally, findings)
+        _print_progress(
+            as_json, f"running jobs of {callers} callers for {seconds:g} s"
+        )
+        stats = run_jobs(fleet, selected, seconds=seconds, callers=callers)
+        results = check_integrity(fleet, selected, stats)
+        report = _report(selected, stats, results)
         if as_json:
             print(json.dumps(report), flush=True)
         else:
-            _print_report(report, findings)
+            _print_report(report, results)
         if hold > 0:
-            _hold(fleet, hold)
+            _keep_running(fleet, hold)
     return 0 if report["good"] else 1
 
 
-def _hold(fleet: Fleet, seconds: float) -> None:
-    """Keep the fleet up and say how to reach it."""
+def _keep_running(fleet: Fleet, seconds: float) -> None:
+    """Keep the fleet running and print how to connect to it."""
     vms = list(fleet.vms.values())
     addresses = " ".join(vm.operators_listen for vm in vms[:3])
-    print(f"\nThe fleet stays up for {seconds:g} s, or until Ctrl-C. To look")
-    print("at it, in another shell:")
+    print(f"\nThe fleet runs for another {seconds:g} s, or until Ctrl-C.")
+    print("To inspect it, run in another shell:")
     print(f'  export BAMBOOSPRING_VM="{addresses}"')
     print(f"  export BAMBOOSPRING_TOKEN={OPERATOR_TOKEN}")
     print(f"  export BAMBOOSPRING_ENTRY={vms[0].entry}")
     print("  bamboospring status")
-    print(f"In a browser: http://{vms[0].operators_listen}/status")
-    print("(any name, the token as password)", flush=True)
+    print(f"Or open http://{vms[0].operators_listen}/status in a browser")
+    print("(any user name, the token as password).", flush=True)
     try:
         time.sleep(seconds)
     except KeyboardInterrupt:
@@ -108,10 +110,10 @@
     callers: int,
     first_job: int = 0,
 ) -> RequestStats:
-    """Let callers run jobs for `seconds`, and return their joint tally."""
+    """Run jobs of all callers for `seconds` and return their total stats."""
     start = time.monotonic()
-    numbers = itertools.count(first_job)
-    stop_at = start + seconds + FINISH_SECONDS
+    job_numbers = itertools.count(first_job)
+    stop_at = start + seconds + FINISH_TIMEOUT
     runners = [
         JobRunner(
             caller=Caller(
@@ -122,14 +124,14 @@
         )
         for i in range(callers)
     ]
-    faults: list[BaseException] = []
+    errors: list[BaseException] = []
 
     def work(runner: JobRunner) -> None:
         try:
             while time.monotonic() < start + seconds:
-                runner.run(scenario.job(next(numbers)))
+                runner.run(scenario.job(next(job_numbers)))
         except BaseException as exc:
-            faults.append(exc)
+            errors.append(exc)
 
     threads = [
         threading.Thread(target=work, args=(r,), daemon=True) for r in runners
@@ -138,29 +140,29 @@
         thread.start()
     for thread in threads:
         thread.join()
-    if faults:
-        raise faults[0]
+    if errors:
+        raise errors[0]
     total = RequestStats()
     for runner in runners:
         total.add(runner.stats)
     return total
 
 
-def check_books(
-    fleet: Fleet, scenario: Scenario, tally: RequestStats
-) -> list[Finding]:
-    """Check the books at each target, once it has caught up."""
-    findings = []
-    for group in scenario.estate.groups:
+def check_integrity(
+    fleet: Fleet, scenario: Scenario, stats: RequestStats
+) -> list[CheckResult]:
+    """Check the data of each target once the replicas have caught up."""
+    results = []
+    for group in scenario.topology.groups:
         wait_until(
             lambda g=group: _caught_up(fleet, g),  # type: ignore[misc]
-            seconds=CATCH_UP_SECONDS,
+            seconds=CATCH_UP_TIMEOUT,
             what=f"the replicas of {group} to catch up",
         )
-        keys = [key for name, key in tally.acknowledged if name == group]
+        keys = [key for name, key in stats.acknowledged if name == group]
         for target in fleet.members(group):
-            findings += _check_target(fleet, scenario, target.name, keys)
-    return findings
+            results += _check_one_target(fleet, scenario, target.name, keys)
+    return results
 
 
 def _caught_up(fleet: Fleet, group: str) -> bool:
@@ -169,67 +171,67 @@
     return all(probe["applied"] == newest for probe in probes)
 
 
-def _check_target(
+def _check_one_target(
     fleet: Fleet, scenario: Scenario, target: str, keys: list[str]
-) -> list[Finding]:
-    findings = []
-    for check in scenario.books:
+) -> list[CheckResult]:
+    results = []
+    for check in scenario.integrity_checks:
         found = fleet.query(target, check.sql)[0][0]
-        findings.append(
-            Finding(
+        results.append(
+            CheckResult(
                 target=target,
                 name=check.name,
-                wanted=check.wanted,
+                expected=check.expected,
                 found=found,
             )
         )
-    findings.append(
-        Finding(
+    results.append(
+        CheckResult(
             target=target,
             name="acknowledged steps",
-            wanted=len(keys),
+            expected=len(keys),
             found=_count_keys(fleet, target, keys),
         )
     )
-    return findings
+    return results
 
 
 def _count_keys(fleet: Fleet, target: str, keys: list[str]) -> int:
     found = 0
-    for at in range(0, len(keys), KEYS_IN_ONE_QUERY):
-        some = keys[at : at + KEYS_IN_ONE_QUERY]
-        marks = ", ".join("?" * len(some))
-        sql = f"SELECT count(*) FROM postings WHERE key IN ({marks})"
-        found += fleet.query(target, sql, some)[0][0]
+    for start in range(0, len(keys), MAX_KEYS_PER_QUERY):
+        batch = keys[start : start + MAX_KEYS_PER_QUERY]
+        placeholders = ", ".join("?" * len(batch))
+        sql = f"SELECT count(*) FROM postings WHERE key IN ({placeholders})"
+        found += fleet.query(target, sql, batch)[0][0]
     return found
 
 
 def _report(
-    scenario: Scenario, tally: RequestStats, findings: list[Finding]
+    scenario: Scenario, stats: RequestStats, results: list[CheckResult]
 ) -> dict[str, Any]:
-    good = (
-        all(finding.good for finding in findings)
-        and tally.stale_reads == 0
-        and tally.wrong_answers == 0
-        and tally.steps_unfinished == 0
-        and tally.steps_acknowledged > 0
+    passed = (
+        all(result.passed for result in results)
+        and stats.stale_reads == 0
+        and stats.wrong_answers == 0
+        and stats.steps_unfinished == 0
+        and stats.steps_acknowledged > 0
     )
     return {
-        "scenario": scenario.estate.name,
-        "jobs": tally.jobs,
-        "steps_acknowledged": tally.steps_acknowledged,
-        "steps_open": tally.steps_unfinished,
-        "stale_reads": tally.stale_reads,
-        "wrong_answers": tally.wrong_answers,
-        "replays": tally.replays,
-        "reads": tally.reads,
-        "replica_share": round(tally.replica_share(), 4),
-        "read_ms": _latency(tally.read_us),
-        "write_ms": _latency(tally.write_us),
-        "outcomes": dict(sorted(tally.outcomes.items())),
-        "books_checked": len(findings),
-        "books_wrong": sum(not finding.good for finding in findings),
-        "good": good,
+        "scenario": scenario.topology.name,
+        "jobs": stats.jobs,
+        "steps_acknowledged": stats.steps_acknowledged,
+        "steps_open": stats.steps_unfinished,
+        "stale_reads": stats.stale_reads,
+        "wrong_answers": stats.wrong_answers,
+        "replays": stats.replays,
+        "reads": stats.reads,
+        "replica_share": round(stats.replica_share(), 4),
+        "read_ms": _latency(stats.read_us),
+        "write_ms": _latency(stats.write_us),
+        "outcomes": dict(sorted(stats.outcomes.items())),
+        "books_checked": len(results),
+        "books_wrong": sum(not result.passed for result in results),
+        "good": passed,
     }
 
 
@@ -239,46 +241,49 @@
     }
 
 
-def _sizes(scenario: Scenario) -> str:
-    estate = scenario.estate
+def _describe_fleet(scenario: Scenario) -> str:
+    topology = scenario.topology
     return (
-        f"{estate.name}: {len(estate.groups)} groups of {estate.members},"
-        f" {estate.vms} VMs in {len(estate.zones)} availability zones"
+        f"{topology.name}: {len(topology.groups)} groups of"
+        f" {topology.members}, {topology.vms} VMs in"
+        f" {len(topology.zones)} availability zones"
     )
 
 
-def _say(as_json: bool, text: str) -> None:
+def _print_progress(as_json: bool, text: str) -> None:
     if not as_json:
         print(text, flush=True)
 
 
-def _print_report(report: dict[str, Any], findings: list[Finding]) -> None:
+def _print_report(report: dict[str, Any], results: list[CheckResult]) -> None:
     reads = report["read_ms"]
     writes = report["write_ms"]
     print(f"jobs finished        {report['jobs']}")
     print(f"steps acknowledged   {report['steps_acknowledged']}")
-    print(f"steps left open      {report['steps_open']}")
+    print(f"steps unfinished     {report['steps_open']}")
     print(f"reads                {report['reads']}")
     print(f"  at replicas        {report['replica_share']:.1%}")
-    print(f"  older than session {report['stale_reads']}")
-    print(f"  of a wrong shape   {report['wrong_answers']}")
+    print(f"  stale              {report['stale_reads']}")
+    print(f"  wrong answers      {report['wrong_answers']}")
     print(f"read latency ms      p50 {reads['p50']}  p99 {reads['p99']}")
     print(f"write latency ms     p50 {writes['p50']}  p99 {writes['p99']}")
-    print("answers by kind")
+    print("answers by outcome")
     for name, count in report["outcomes"].items():
         print(f"  {name:<28}{count}")
-    _print_books(findings)
-    print("the books balance" if report["good"] else "NOT GOOD, see above")
+    _print_check_results(results)
+    print(
+        "all checks passed" if report["good"] else "CHECKS FAILED, see above"
+    )
 
 
-def _print_books(findings: list[Finding]) -> None:
-    print("books, checked at each target")
-    by_name = Counter(f.name for f in findings if f.good)
+def _print_check_results(results: list[CheckResult]) -> None:
+    print("integrity checks at each target")
+    by_name = Counter(r.name for r in results if r.passed)
     for name, count in by_name.items():
-        print(f"  {name}: as wanted at {count} targets")
-    for finding in findings:
-        if not finding.good:
+        print(f"  {name}: passed at {count} targets")
+    for result in results:
+        if not result.passed:
             print(
-                f"  WRONG {finding.name} at {finding.target}:"
-                f" wanted {finding.wanted}, found {finding.found}"
+                f"  FAILED {result.name} at {result.target}:"
+                f" expected {result.expected}, found {result.found}"
             )
--- a/bamboospring/errors.py
+++ b/bamboospring/errors.py
@@ -1,9 +1,8 @@
 """The exceptions of this package.
 
-What becomes of a statement is a value (see `bamboospring.outcomes`), never an
-exception. An exception means either that something outside is malformed and
-was met at the border, or that an invariant is broken and the process must not
-go on.
+The outcome of a statement is a value (see `bamboospring.outcomes`), never an
+exception. An exception means either that external input is malformed or that
+an invariant is violated and the process must stop.
 """
 
 from __future__ import annotations
@@ -19,22 +18,22 @@
 
 
 class BamboospringError(Exception):
-    """The root of every exception that this package raises."""
+    """The base class of all exceptions of this package."""
 
 
 class ListenError(BamboospringError):
-    """An address of our own cannot be listened on."""
+    """The process cannot listen on a configured address."""
 
 
 class MessageError(BamboospringError):
-    """A message from another VM is malformed; its link is not used on."""
+    """A message from another VM is malformed; its link must be closed."""
 
 
 class SourceError(BamboospringError):
-    """A text in JSON with comments is malformed at a line and column.
+    """A source text is malformed at a line and column.
 
-    Lines and columns count from 1. The text of the exception is
-    `name:line:column: message`, the form that editors jump to.
+    Lines and columns count from 1. The text of the exception has the form
+    `name:line:column: message`, which editors recognize as a location.
     """
 
     def __init__(
@@ -48,9 +47,9 @@
 
 
 class SettingsError(SourceError):
-    """A settings file holds something that cannot be used.
+    """A settings file is invalid.
 
-    `others` are the faults found after the first, in the file's order.
+    `others` holds the further errors in the order of the file.
     """
 
     def __init__(
@@ -67,4 +66,4 @@
 
 
 class CommandError(BamboospringError):
-    """A command cannot do what was asked; the text is shown to the user."""
+    """A command failed; the text is printed for the user."""
--- a/bamboospring/scenarios.py
+++ b/bamboospring/scenarios.py
@@ -1,9 +1,9 @@
-"""Work that looks like the users' own, for the demo, tests and bench.
+"""Workloads modelled on those of the users, for demo, tests and bench.
 
-A job is a line of steps in one database group. Each step carries its own
-idempotency key and leaves one row in `postings`, which has no unique
-constraint on purpose: a step that ran twice shows as two rows, and one that
-was acknowledged and lost as none.
+A job is a sequence of steps in one database group. Each step has its own
+idempotency key and inserts one row into `postings`. That table deliberately
+has no unique constraint: a step that ran twice leaves two rows, and a step
+that was acknowledged and then lost leaves none.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from bamboospring.testing.topology import Topology
 
 __all__ = [
-    "BookCheck",
+    "IntegrityCheck",
     "Job",
     "SCENARIOS",
     "Scenario",
@@ -26,17 +26,17 @@
     "Step",
 ]
 
-ACCOUNTS = 60
+ACCOUNT_COUNT = 60
 OPENING_BALANCE = 100_000
-PROJECTS = 20
-STRINGS = 200
-POST = "INSERT INTO postings (job, step, key) VALUES (?, ?, ?)"
-STATUS = "SELECT count(DISTINCT step) FROM postings WHERE job = ?"
+PROJECT_COUNT = 20
+STRING_COUNT = 200
+INSERT_POSTING_SQL = "INSERT INTO postings (job, step, key) VALUES (?, ?, ?)"
+COUNT_STEPS_SQL = "SELECT count(DISTINCT step) FROM postings WHERE job = ?"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sql:
-    """One statement with its parameters."""
+    """An SQL statement with its parameters."""
 
     text: str
     params: tuple[Any, ...] = ()
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """One step: all of `statements` in one transaction under `key`."""
+    """A transaction of `statements` with the idempotency key `key`."""
 
     name: str
     key: str
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Job:
-    """A line of steps in one group.
+    """A sequence of steps in one group.
 
-    `status` counts the steps done so far, `lookup` is a read that accepts
-    data of a stated age.
+    `status` counts the steps done so far. `lookup` is a read that accepts
+    data up to the scenario's `staleness_ms`.
     """
 
     name: str
@@ -67,21 +67,21 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class BookCheck:
-    """A query that returns one number, and what that has to be."""
+class IntegrityCheck:
+    """A query that returns one number, with the expected value."""
 
     name: str
     sql: str
-    wanted: int
+    expected: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """An estate with its jobs and the checks of its books."""
+    """A topology with its jobs and the integrity checks of its data."""
 
-    estate: Topology
+    topology: Topology
     job: Callable[[int], Job]
-    books: tuple[BookCheck, ...]
+    integrity_checks: tuple[IntegrityCheck, ...]
     lookups_per_step: int
     staleness_ms: int
 
@@ -92,7 +92,7 @@
 CREATE INDEX postings_job ON postings (job);
 """
 
-_COUNTER = """
+_NUMBERS = """
 WITH RECURSIVE n(i) AS (SELECT 0 UNION ALL SELECT i + 1 FROM n
   WHERE i + 1 < {count})
 """
@@ -109,14 +109,14 @@
   id INTEGER PRIMARY KEY, key TEXT, source TEXT, sink TEXT, amount INTEGER);
 """
     + f"""
-INSERT INTO accounts {_COUNTER.format(count=ACCOUNTS)}
+INSERT INTO accounts {_NUMBERS.format(count=ACCOUNT_COUNT)}
   SELECT 'old-' || i, {OPENING_BALANCE} FROM n;
-INSERT INTO accounts {_COUNTER.format(count=ACCOUNTS)}
+INSERT INTO accounts {_NUMBERS.format(count=ACCOUNT_COUNT)}
   SELECT 'new-' || i, 0 FROM n;
 INSERT INTO standing_orders (account, payee)
-  {_COUNTER.format(count=ACCOUNTS)} SELECT 'old-' || i, 'landlord' FROM n;
+  {_NUMBERS.format(count=ACCOUNT_COUNT)} SELECT 'old-' || i, 'landlord' FROM n;
 INSERT INTO direct_debits (account, creditor)
-  {_COUNTER.format(count=ACCOUNTS)} SELECT 'old-' || i, 'utility' FROM n;
+  {_NUMBERS.format(count=ACCOUNT_COUNT)} SELECT 'old-' || i, 'utility' FROM n;
 """
 )
 
@@ -132,9 +132,9 @@
   id INTEGER PRIMARY KEY, key TEXT, project TEXT, amount INTEGER);
 """
     + f"""
-INSERT INTO strings {_COUNTER.format(count=STRINGS)}
+INSERT INTO strings {_NUMBERS.format(count=STRING_COUNT)}
   SELECT 'string-' || i, 0, 0 FROM n;
-INSERT INTO projects {_COUNTER.format(count=PROJECTS)}
+INSERT INTO projects {_NUMBERS.format(count=PROJECT_COUNT)}
   SELECT 'project-' || i, {OPENING_BALANCE}, 0 FROM n;
 """
 )
@@ -142,16 +142,16 @@
 
 def _step(job: str, name: str, *statements: Sql) -> Step:
     key = f"{job}/{name}"
-    posting = Sql(text=POST, params=(job, name, key))
+    posting = Sql(text=INSERT_POSTING_SQL, params=(job, name, key))
     return Step(name=name, key=key, statements=(*statements, posting))
 
 
-def _switch(number: int) -> Job:
-    """Move an account: standing orders, direct debits, part of a balance."""
+def _account_switch_job(number: int) -> Job:
+    """Return a job that moves an account: its orders, debits and balance."""
     groups = CARPATICA.groups
     name = f"switch-{number}"
-    pair = (number // len(groups)) % ACCOUNTS
-    old, new = f"old-{pair}", f"new-{pair}"
+    account_number = (number // len(groups)) % ACCOUNT_COUNT
+    old, new = f"old-{account_number}", f"new-{account_number}"
     amount = 1 + number % 50
     orders = Sql(
         text="UPDATE standing_orders SET account = ? WHERE account = ?",
@@ -168,16 +168,20 @@
             _step(name, "open"),
             _step(name, "standing-order", orders),
             _step(name, "direct-debit", debits),
-            _step(name, "balance", *_transfer(name, old, new, amount)),
+            _step(
+                name, "balance", *_transfer_statements(name, old, new, amount)
+            ),
         ),
-        status=Sql(text=STATUS, params=(name,)),
+        status=Sql(text=COUNT_STEPS_SQL, params=(name,)),
         lookup=Sql(
             text="SELECT balance FROM accounts WHERE id = ?", params=(old,)
         ),
     )
 
 
-def _transfer(job: str, old: str, new: str, amount: int) -> tuple[Sql, ...]:
+def _transfer_statements(
+    job: str, old: str, new: str, amount: int
+) -> tuple[Sql, ...]:
     return (
         Sql(
             text="UPDATE accounts SET balance = balance - ? WHERE id = ?",
@@ -195,22 +199,24 @@
     )
 
 
-def _translation(number: int) -> Job:
-    """Post a string version, approve it, bill the vendor's work."""
+def _translation_job(number: int) -> Job:
+    """Return a job that adds a string version, approves and invoices it."""
     groups = MALABAR.groups
     name = f"batch-{number}"
-    string = f"string-{(number // len(groups)) % STRINGS}"
-    project = f"project-{number % PROJECTS}"
+    string = f"string-{(number // len(groups)) % STRING_COUNT}"
+    project = f"project-{number % PROJECT_COUNT}"
     amount = 5 + number % 20
     return Job(
         name=name,
         group=groups[number % len(groups)],
         steps=(
-            _step(name, "version", *_version(name, string)),
-            _step(name, "approve", *_approval(string)),
-            _step(name, "invoice", *_invoice(name, project, amount)),
+            _step(name, "version", *_version_statements(name, string)),
+            _step(name, "approve", *_approval_statements(string)),
+            _step(
+                name, "invoice", *_invoice_statements(name, project, amount)
+            ),
         ),
-        status=Sql(text=STATUS, params=(name,)),
+        status=Sql(text=COUNT_STEPS_SQL, params=(name,)),
         lookup=Sql(
             text="SELECT approved, newest FROM strings WHERE id = ?",
             params=(string,),
@@ -218,7 +224,7 @@
     )
 
 
-def _version(job: str, string: str) -> tuple[Sql, ...]:
+def _version_statements(job: str, string: str) -> tuple[Sql, ...]:
     return (
         Sql(
             text="INSERT INTO string_versions (key, string, language, body)"
@@ -232,12 +238,14 @@
     )
 
 
-def _approval(string: str) -> tuple[Sql, ...]:
+def _approval_statements(string: str) -> tuple[Sql, ...]:
     text = "UPDATE strings SET approved = approved + 1 WHERE id = ?"
     return (Sql(text=text, params=(string,)),)
 
 
-def _invoice(job: str, project: str, amount: int) -> tuple[Sql, ...]:
+def _invoice_statements(
+    job: str, project: str, amount: int
+) -> tuple[Sql, ...]:
     return (
         Sql(
             text="INSERT INTO invoices (key, project, amount)"
@@ -251,79 +259,79 @@
     )
 
 
-_DOUBLED = BookCheck(
-    name="steps that ran twice",
+_NO_REPEATED_STEPS = IntegrityCheck(
+    name="repeated steps",
     sql="SELECT count(*) - count(DISTINCT key) FROM postings",
-    wanted=0,
+    expected=0,
 )
 
-_CARPATICA_BOOKS = (
-    _DOUBLED,
-    BookCheck(
+_CARPATICA_CHECKS = (
+    _NO_REPEATED_STEPS,
+    IntegrityCheck(
         name="sum of all balances",
         sql="SELECT sum(balance) FROM accounts",
-        wanted=ACCOUNTS * OPENING_BALANCE,
+        expected=ACCOUNT_COUNT * OPENING_BALANCE,
     ),
-    BookCheck(
-        name="accounts that differ from their transfers",
+    IntegrityCheck(
+        name="accounts that do not match their transfers",
         sql=f"""
 SELECT count(*) FROM accounts AS a WHERE balance <>
   CASE WHEN id LIKE 'old-%' THEN {OPENING_BALANCE} ELSE 0 END
   + (SELECT coalesce(sum(amount), 0) FROM transfers WHERE sink = a.id)
   - (SELECT coalesce(sum(amount), 0) FROM transfers WHERE source = a.id)
 """,
-        wanted=0,
+        expected=0,
     ),
-    BookCheck(
-        name="transfers without their posting, or the other way round",
+    IntegrityCheck(
+        name="transfers minus balance postings",
         sql="""
 SELECT (SELECT count(*) FROM transfers)
   - (SELECT count(*) FROM postings WHERE step = 'balance')
 """,
-        wanted=0,
+        expected=0,
     ),
 )
 
-_MALABAR_BOOKS = (
-    _DOUBLED,
-    BookCheck(
+_MALABAR_CHECKS = (
+    _NO_REPEATED_STEPS,
+    IntegrityCheck(
         name="billed minus invoices",
         sql="""
 SELECT (SELECT coalesce(sum(billed), 0) FROM projects)
   - (SELECT coalesce(sum(amount), 0) FROM invoices)
 """,
-        wanted=0,
+        expected=0,
     ),
-    BookCheck(
+    IntegrityCheck(
         name="newest versions minus posted versions",
         sql="""
 SELECT (SELECT sum(newest) FROM strings)
   - (SELECT count(*) FROM string_versions)
 """,
-        wanted=0,
+        expected=0,
     ),
-    BookCheck(
+    IntegrityCheck(
         name="approvals minus their postings",
         sql="""
 SELECT (SELECT sum(approved) FROM strings)
   - (SELECT count(*) FROM postings WHERE step = 'approve')
 """,
-        wanted=0,
+        expected=0,
     ),
 )
 
 SCENARIOS: dict[str, Scenario] = {
     "carpatica": Scenario(
-        estate=replace(CARPATICA, schema=_CARPATICA_SCHEMA),
-        job=_switch,
-        books=_CARPATICA_BOOKS,
+        topology=replace(CARPATICA, schema=_CARPATICA_SCHEMA),
+        job=_account_switch_job,
+        integrity_checks=_CARPATICA_CHECKS,
         lookups_per_step=3,
         staleness_ms=1000,
     ),
     "malabar": Scenario(
-        estate=replace(MALABAR, schema=_MALABAR_SCHEMA),
-        job=_translation,
-        books=_MALABAR_BOOKS,
+        topology=replace(MALABAR, schema=_MALABAR_SCHEMA),
+        job=_translation_job,
+        integrity_checks=_MALABAR_CHECKS,
         lookups_per_step=8,
         staleness_ms=2000,
     ),
--- a/bamboospring/serve.py
+++ b/bamboospring/serve.py
@@ -1,4 +1,4 @@
-"""`bamboospring serve`: run the process that the settings describe."""
+"""Run the process of `bamboospring serve`."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def run(cfg: Settings, path: str = "") -> None:
-    """Serve until told to stop; `path` is where SIGHUP reads again."""
+    """Serve until stopped; SIGHUP reloads the settings from `path`."""
     logs.configure(level=cfg.logs.level, vm=cfg.vm)
     try:
-        process = _make(cfg, path)
+        process = _make_process(cfg, path)
     except OSError as exc:
         raise ListenError(f"cannot listen: {exc}") from exc
     if path:
@@ -28,8 +28,8 @@
     process.run()
 
 
-def _make(cfg: Settings, path: str) -> Process:
-    # Imported here: an entry-only process needs no holder in its memory.
+def _make_process(cfg: Settings, path: str) -> Process:
+    # Import late: an entry-only process has no holder and must not load it.
     if cfg.entry.only:
         from bamboospring.entry_only import EntryOnly
 
--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -2,16 +2,16 @@
 
   Scenario: Help names every command
     When the command "--help" is run
-    Then it ends with 0
-    And its output names serve, demo, table, status, primary, record, report, check, load and version
+    Then it exits with 0
+    And its output contains serve, demo, table, status, primary, record, report, check, load and version
 
   Scenario: Every command explains itself
-    Then each command has help that ends with 0
+    Then the help of each command exits with 0
 
   Scenario Outline: What cannot be done is said with its own exit code
     When the command "<command>" is run
-    Then it ends with <code>
-    And it complains of "<complaint>"
+    Then it exits with <code>
+    And it prints the error "<complaint>"
 
     Examples:
       | command                                                          | code | complaint              |
@@ -24,23 +24,23 @@
       | report missing.jsonl                                             | 2    | cannot be read         |
 
   Scenario: A listener whose address is taken is named, without a traceback
-    Given settings whose operators' address is taken
+    Given settings whose operators' address is in use
     When the command "serve" is run with these settings
-    Then it ends with 2
-    And it complains of "cannot listen"
+    Then it exits with 2
+    And it prints the error "cannot listen"
 
   Scenario: Keys that cannot be read are named, without a traceback
     Given settings whose certificate is missing
     When the command "serve" is run with these settings
-    Then it ends with 2
-    And it complains of "cannot be used for TLS"
+    Then it exits with 2
+    And it prints the error "cannot be used for TLS"
 
   Scenario: Completion for a shell can be had
     When the command "--show-completion" is run from bash
-    Then it ends with 0
-    And its output names _BAMBOOSPRING_COMPLETE
+    Then it exits with 0
+    And its output contains _BAMBOOSPRING_COMPLETE
 
   Scenario: The version is printed for people and for programs
     When the command "version --json" is run
-    Then it ends with 0
-    And its output names version and python
+    Then it exits with 0
+    And its output contains version and python
--- a/features/steps/command_line_steps.py
+++ b/features/steps/command_line_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the command line as a user does."""
+"""Steps that run commands as a user does."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 from behave import when
 
 ROOT = Path(__file__).resolve().parents[2]
-COMMAND_SECONDS = 60.0
-FREE = "127.0.0.1:0"
+COMMAND_TIMEOUT = 60.0
+ANY_PORT = "127.0.0.1:0"
 
 
 def run_command(
     text: str, **environment: str
 ) -> subprocess.CompletedProcess[str]:
-    """Run a bamboospring command and return what came of it."""
+    """Run a bamboospring command and return its result."""
     return subprocess.run(
         [sys.executable, "-m", "bamboospring", *shlex.split(text)],
         cwd=ROOT,
         env={**os.environ, "SHELL": "/bin/bash", **environment},
         capture_output=True,
         text=True,
-        timeout=COMMAND_SECONDS,
+        timeout=COMMAND_TIMEOUT,
         check=False,
     )
 
 
 @when('the command "{text}" is run from bash')
 def step_run_from_bash(context: Any, text: str) -> None:
-    # typer looks for a shell among the parents of its process. Tests that
-    # are started without one would fail for the want of a shell.
+    # typer looks for a shell among the parent processes. Start one, because
+    # the tests may run without a shell.
     command = f"{shlex.quote(sys.executable)} -m bamboospring {text}; exit $?"
     context.done = subprocess.run(
         ["bash", "-c", command],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=COMMAND_SECONDS,
+        timeout=COMMAND_TIMEOUT,
         check=False,
     )
 
@@ -57,8 +57,8 @@
     context.done = run_command(text)
 
 
-@given("settings whose operators' address is taken")
-def step_taken(context: Any) -> None:
+@given("settings whose operators' address is in use")
+def step_address_in_use(context: Any) -> None:
     sock = socket.create_server(("127.0.0.1", 0))
     context.add_cleanup(sock.close)
     port = sock.getsockname()[1]
@@ -68,7 +68,7 @@
 @given("settings whose certificate is missing")
 def step_no_certificate(context: Any) -> None:
     missing = {"certificate": "missing.pem", "private_key": "missing.key"}
-    _write_settings(context, callers={"listen": FREE, "tls": missing})
+    _write_settings(context, callers={"listen": ANY_PORT, "tls": missing})
 
 
 def _write_settings(
@@ -80,8 +80,8 @@
     settings = {
         "vm": "vm-1",
         "availability_zone": "zone-a",
-        "callers": {"listen": FREE},
-        "peers": {"listen": FREE},
+        "callers": {"listen": ANY_PORT},
+        "peers": {"listen": ANY_PORT},
         "operators": {"listen": operators_listen, "token": "x" * 16},
         "platform": {"address": "127.0.0.1:1"},
         "token_keys": [{"id": "k1", "secret": "0123456789abcdef"}],
@@ -94,27 +94,27 @@
     context.done = run_command(f"serve --settings {context.settings_path}")
 
 
-@then("it ends with {code:d}")
+@then("it exits with {code:d}")
 def step_code(context: Any, code: int) -> None:
     assert context.done.returncode == code, context.done
 
 
-@then("its output names {words}")
+@then("its output contains {words}")
 def step_output(context: Any, words: str) -> None:
     for word in re.split(r", | and ", words):
         assert word in context.done.stdout, (word, context.done)
 
 
-@then('it complains of "{text}"')
-def step_complaint(context: Any, text: str) -> None:
+@then('it prints the error "{text}"')
+def step_error(context: Any, text: str) -> None:
     assert text in context.done.stderr, context.done
     assert "Traceback" not in context.done.stderr, context.done
 
 
-@then("each command has help that ends with 0")
+@then("the help of each command exits with 0")
 def step_each_help(context: Any) -> None:
-    story = run_command("--help").stdout
-    listed = story.partition("Commands:")[2]
+    help_text = run_command("--help").stdout
+    listed = help_text.partition("Commands:")[2]
     names = re.findall(r"^  ([a-z]+)  ", listed, re.MULTILINE)
     assert len(names) >= 10, names
     for name in names:
