--- a/features/environment.py
+++ b/features/environment.py
@@ -1,7 +1,7 @@
-"""What all features share: a fleet's logs are shown when a scenario fails.
+"""Behave hooks of all features: print a fleet's logs if a scenario fails.
 
-Steps put a running fleet into `context.fleet` and register its `close` with
-`context.add_cleanup`, which behave calls in every case.
+Steps store a running fleet in `context.fleet` and register its `close` with
+`context.add_cleanup`, which behave always calls.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """Print the last lines of each process of a failed scenario's fleet."""
+    """Print the last log lines of each process of a failed scenario."""
     fleet = getattr(context, "fleet", None)
     if fleet is not None and scenario.status.name != "passed":
         print(fleet.tail())
--- a/features/steps/outward_tls_steps.py
+++ b/features/steps/outward_tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for TLS towards the platform and the targets."""
+"""Steps for TLS connections to the platform and the targets."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from bamboospring.testing.topology import SMALL
 
 KEYS = Path(__file__).resolve().parents[1] / "data" / "tls"
-PATIENCE = 5.0
+REQUEST_TIMEOUT = 5.0
 
 
 class TlsRelays:
-    """Stand before plain stand-ins and speak TLS with whoever connects."""
+    """TLS proxies in front of simulators that only support plain text."""
 
     def __init__(self) -> None:
         self.addresses: dict[str, str] = {}
@@ -40,35 +40,38 @@
         self._loop.set_exception_handler(lambda *_: None)
         threading.Thread(target=self._loop.run_forever, daemon=True).start()
 
-    def add(self, upstream: str) -> str:
-        """Return the address at which `upstream` is reached under TLS."""
+    def add_upstream(self, upstream: str) -> str:
+        """Return the address of the TLS proxy for `upstream`."""
         if upstream not in self.addresses:
-            self.addresses[upstream] = self._call(self._listen(upstream))
+            self.addresses[upstream] = self._run(self._listen(upstream))
         return self.addresses[upstream]
 
-    def show(self, name: str) -> None:
-        """Show another certificate from now on and cut what is open."""
-        # The listeners' context is this very one.
+    def use_certificate(self, name: str) -> None:
+        """Use another certificate and abort all open connections."""
+        # All listeners share this context, so new connections use the new
+        # certificate.
         self._tls.load_cert_chain(KEYS / f"{name}.pem", KEYS / f"{name}.key")
-        self._call(self._cut())
+        self._run(self._close_connections())
 
     def stop(self) -> None:
-        """End all of it."""
-        self._call(self._cut())
+        """Close all connections and stop the event loop."""
+        self._run(self._close_connections())
         self._loop.call_soon_threadsafe(self._loop.stop)
 
-    def _call(self, work: Any) -> Any:
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result(10)
+    def _run(self, coroutine: Any) -> Any:
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(
+            10
+        )
 
     async def _listen(self, upstream: str) -> str:
-        accepted = partial(self._accepted, upstream)
+        accepted = partial(self._on_connection, upstream)
         server = await asyncio.start_server(
             accepted, "127.0.0.1", 0, ssl=self._tls
         )
         host, port = server.sockets[0].getsockname()
         return f"{host}:{port}"
 
-    async def _accepted(
+    async def _on_connection(
         self,
         upstream: str,
         reader: asyncio.StreamReader,
@@ -83,7 +86,7 @@
             return_exceptions=True,
         )
 
-    async def _cut(self) -> None:
+    async def _close_connections(self) -> None:
         for writer in self._writers:
             writer.transport.abort()
         self._writers.clear()
@@ -118,7 +121,7 @@
         topology=dataclasses.replace(SMALL, schema=SCHEMA),
         vms=3,
         settings={"platform": {"tls": tls}, "targets": {"tls": tls}},
-        map_address=context.relays.add,
+        map_address=context.relays.add_upstream,
     )
     context.fleet = fleet
     context.add_cleanup(fleet.close)
@@ -145,7 +148,7 @@
                 found = attempt()
             except (OSError, http.client.HTTPException):
                 continue
-            raise AssertionError(f"it got through to {address}: {found}")
+            raise AssertionError(f"{address} was reached: {found}")
         assert _get(address, path, "vm") == 200
 
 
@@ -158,7 +161,7 @@
     tls.load_cert_chain(KEYS / f"{name}.pem", KEYS / f"{name}.key")
     host, port = address.rsplit(":", 1)
     conn = http.client.HTTPSConnection(
-        host, int(port), timeout=PATIENCE, context=tls
+        host, int(port), timeout=REQUEST_TIMEOUT, context=tls
     )
     try:
         conn.request("GET", path)
@@ -169,7 +172,7 @@
 
 @when("they show a certificate of another authority and cut connections")
 def when_foreign(context: Any) -> None:
-    context.relays.show("foreign")
+    context.relays.use_certificate("foreign")
 
 
 @then("no VM gets through to them, and none is ready after a restart")
@@ -177,17 +180,17 @@
     for entry in context.fleet.entries():
         answer = Caller(entries=[entry]).read(GROUP, "SELECT 1")
         assert answer.outcome in ("not_run", "overloaded"), answer
-    before = _executed(context)
+    before = _executed_statements(context)
     context.fleet.restart("vm-1")
     time.sleep(2)
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     address = context.fleet.vms["vm-1"].operators_listen
     status = call_json(address, "GET", "/status.json", headers=headers)
     assert status["ready"] is False and status["vms_seen"] == 0, status
-    assert _executed(context) == before
+    assert _executed_statements(context) == before
 
 
-def _executed(context: Any) -> int:
+def _executed_statements(context: Any) -> int:
     fleet = context.fleet
     return sum(
         fleet.counters(name).get("executed", 0) for name in fleet.targets
--- a/tools/check_reference.py
+++ b/tools/check_reference.py
@@ -1,4 +1,4 @@
-"""Fail if docs/SETTINGS.md is not what the models of settings say."""
+"""Fail if docs/SETTINGS.md does not match the settings models."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Print the difference; return 1 if there is one."""
+    """Print the difference and return 1 if there is one, else 0."""
     difference = list(
         difflib.unified_diff(
             PAGE.read_text().splitlines(),
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,10 +1,10 @@
-"""Run the checks and the features, print what failed and the counts.
+"""Run the checks and the features; print the failures and the counts.
 
-Each feature file is a behave process of its own, a few at a time. Scenarios
-that KNOWN-RED.txt lists run like all others; their failure is printed and
-counted but does not fail the run. The last line is `N passed, N failed`.
-`AT_ONCE=1` in the environment runs them one after another.
-Exit code: 0 if nothing failed but what is listed, else 1.
+Each feature file runs in a separate behave process, several in parallel.
+Scenarios listed in KNOWN-RED.txt run like all others; their failures are
+printed and counted but do not fail the run. The last line is
+`N passed, N failed`. `AT_ONCE=1` in the environment runs one file at a time.
+Exit code: 0 if only listed scenarios failed, else 1.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
-# Each feature starts a fleet of about 20 processes; four at once are what a
-# four-core machine bears without timing out.
-AT_ONCE = int(os.environ.get("AT_ONCE", "4"))
+MAX_KNOWN_RED = 3
+# Each feature starts a fleet of about 20 processes. A four-core machine runs
+# four of them in parallel without timeouts.
+MAX_PARALLEL = int(os.environ.get("AT_ONCE", "4"))
 FEATURE_TIMEOUT = 420.0
-TAIL = 160
+TAIL_LINES = 160
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Result:
-    """One check or scenario: its name, and its output if it failed."""
+    """The result of a check or scenario, with the output if it failed."""
 
     name: str
     passed: bool
@@ -43,16 +43,16 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run everything, or only the feature files named."""
-    known = _known_red()
+    """Run all checks and features, or only the given feature files."""
+    known = _read_known_red()
     results = [] if arguments else [_check(*each) for each in _checks()]
     features = [ROOT / each for each in arguments] or sorted(
         ROOT.glob("features/*.feature")
     )
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
         for found in pool.map(_run_feature, features):
             results.extend(found)
-    results.extend(_stale_entries(known, results, whole=not arguments))
+    results.extend(_stale_entries(known, results, full_run=not arguments))
     return _print_verdict(results, known)
 
 
@@ -85,7 +85,7 @@
 
 
 def _run_feature(path: Path) -> list[Result]:
-    """Run one feature file; a run without a report is one failure."""
+    """Run one feature file; a run without a report counts as a failure."""
     name = str(path.relative_to(ROOT))
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
@@ -120,8 +120,8 @@
     try:
         output, _ = process.communicate(timeout=FEATURE_TIMEOUT)
     except subprocess.TimeoutExpired:
-        # The feature's fleet is in the session that was started for it, so
-        # nothing of it outlives the run and nothing else is touched.
+        # The feature's fleet runs in the same new session, so this ends all of
+        # its processes and no others.
         os.killpg(process.pid, signal.SIGKILL)
         output, _ = process.communicate()
         output += f"\nended after {FEATURE_TIMEOUT:.0f} s"
@@ -135,10 +135,11 @@
         return []
     return [
         Result(
-            # An outline's example ends in a blank, which no list keeps.
+            # The name of an outline example ends in a space, which the
+            # entries of KNOWN-RED.txt do not contain.
             name=f"{name}: {each['name'].strip()}",
             passed=each["status"] == "passed",
-            output=_why(each, output),
+            output=_failure_output(each, output),
             seconds=_seconds(each),
         )
         for feature in features
@@ -147,8 +148,8 @@
     ]
 
 
-def _why(scenario: dict[str, Any], output: str) -> str:
-    """Return the failed step with its error, after the run's output."""
+def _failure_output(scenario: dict[str, Any], output: str) -> str:
+    """Return the output of the run, followed by the failed steps' errors."""
     if scenario["status"] == "passed":
         return ""
     lines = []
@@ -162,7 +163,7 @@
 
 
 def _part(output: str, scenario: dict[str, str]) -> str:
-    """Return what behave printed of one scenario, or all if not found."""
+    """Return behave's output of one scenario, or all if not found."""
     lines = output.splitlines()
     title = f": {scenario['name']}".rstrip()
     for begin, line in enumerate(lines):
@@ -183,10 +184,10 @@
     )
 
 
-def _known_red() -> dict[str, str]:
-    """Return the listed scenarios with cause and issue.
+def _read_known_red() -> dict[str, str]:
+    """Return the listed scenarios with their cause and issue.
 
-    A line is `features/x.feature: Scenario; cause; issue`.
+    The format of a line is `features/x.feature: Scenario; cause; issue`.
     """
     if not KNOWN_RED.exists():
         return {}
@@ -199,7 +200,7 @@
 
 
 def _stale_entries(
-    known: dict[str, str], results: Sequence[Result], *, whole: bool
+    known: dict[str, str], results: Sequence[Result], *, full_run: bool
 ) -> list[Result]:
     names = {each.name for each in results}
     stale = [
@@ -209,14 +210,14 @@
             output="no such scenario ran",
         )
         for name in known
-        if whole and name not in names
+        if full_run and name not in names
     ]
-    if len(known) > MOST_KNOWN_RED:
+    if len(known) > MAX_KNOWN_RED:
         stale.append(
             Result(
                 name="KNOWN-RED.txt: length",
                 passed=False,
-                output=f"{len(known)} entries, {MOST_KNOWN_RED} are allowed",
+                output=f"{len(known)} entries, {MAX_KNOWN_RED} are allowed",
             )
         )
     for each in stale:
@@ -235,7 +236,7 @@
     for each in failed:
         print(f"\n--- {each.name}")
         if each.output not in shown:
-            print("\n".join(each.output.splitlines()[-TAIL:]))
+            print("\n".join(each.output.splitlines()[-TAIL_LINES:]))
         shown.add(each.output)
     for each in results:
         if each.name not in known:
