--- a/bamboospring/commands.py
+++ b/bamboospring/commands.py
@@ -129,17 +129,17 @@
         return
     if not files:
         raise typer.BadParameter("name a settings file, or use --reference")
-    faults = [
-        fault for path in files for fault in _settings_faults(path, sessions)
+    errors = [
+        error for path in files for error in _settings_errors(path, sessions)
     ]
     if as_json:
-        typer.echo(json.dumps([_fault_fields(each) for each in faults]))
+        typer.echo(json.dumps([_error_fields(each) for each in errors]))
     else:
-        for fault in faults:
-            typer.echo(str(fault), err=True)
-        if not faults:
+        for error in errors:
+            typer.echo(str(error), err=True)
+        if not errors:
             typer.echo("valid: " + ", ".join(str(path) for path in files))
-    raise typer.Exit(cli.ExitCode.NO if faults else cli.ExitCode.DONE)
+    raise typer.Exit(cli.ExitCode.NO if errors else cli.ExitCode.DONE)
 
 
 def version(as_json: Json = False) -> None:
@@ -151,7 +151,7 @@
     typer.echo(cli.version_text())
 
 
-def _settings_faults(path: Path, sessions: bool) -> list[SettingsError]:
+def _settings_errors(path: Path, sessions: bool) -> list[SettingsError]:
     from bamboospring.sessions.settings import SessionSettings
     from bamboospring.settings import load_as
     from bamboospring.settings import Settings
@@ -163,10 +163,10 @@
     return []
 
 
-def _fault_fields(fault: SettingsError) -> dict[str, str | int]:
+def _error_fields(error: SettingsError) -> dict[str, str | int]:
     return {
-        "file": fault.name,
-        "line": fault.line,
-        "column": fault.column,
-        "message": fault.message,
+        "file": error.name,
+        "line": error.line,
+        "column": error.column,
+        "message": error.message,
     }
--- a/bamboospring/http_client.py
+++ b/bamboospring/http_client.py
@@ -262,7 +262,7 @@
     ) -> None:
         self._reactor = reactor
         self._address = address
-        self._kept_header = kept_header
+        self._captured_header = kept_header
         self._conn: HttpConnection | None = None
         self._queue: deque[_QueuedRequest] = deque()
         self._request_active = False
@@ -316,7 +316,7 @@
         self._conn = HttpConnection(
             reactor=self._reactor,
             address=self._address,
-            kept_header=self._kept_header,
+            kept_header=self._captured_header,
         )
         remaining = call.deadline - self._reactor.now()
         timeout = min(CONNECT_TIMEOUT, max(0.0, remaining))
--- a/bamboospring/http_server.py
+++ b/bamboospring/http_server.py
@@ -85,8 +85,8 @@
 
 @lru_cache
 def _status_line(status: int) -> str:
-    known = HTTPStatus(status)
-    return f"HTTP/1.1 {known.value} {known.phrase}"
+    http_status = HTTPStatus(status)
+    return f"HTTP/1.1 {http_status.value} {http_status.phrase}"
 
 
 @lru_cache
--- a/bamboospring/settings.py
+++ b/bamboospring/settings.py
@@ -82,7 +82,7 @@
 
 
 class _Listener(Section):
-    """An address of our own, under TLS unless plain text is asked for."""
+    """A listening address, with TLS unless plain text is allowed."""
 
     listen: Address = Field(description="Address to listen on, `ip:port`.")
     tls: Tls | None = Field(
--- a/bamboospring/settings_base.py
+++ b/bamboospring/settings_base.py
@@ -174,7 +174,7 @@
     # Import late, only for a file with an error or with other JSON5 syntax:
     # loading the parser delays the start of a VM, and callers wait for it.
     from bamboospring import json_source
-    from bamboospring.settings_faults import first_fault
+    from bamboospring.settings_errors import first_error
 
     try:
         data = json_source.parse(text, name=name)
@@ -185,7 +185,7 @@
     try:
         return model.model_validate(data)
     except ValidationError as exc:
-        raise first_fault(exc, data, name=name, model=model) from exc
+        raise first_error(exc, data, name=name, model=model) from exc
 
 
 def _parse_plain_settings(model: type[SectionT], text: str) -> SectionT | None:
--- a/bamboospring/settings_faults.py
+++ b/bamboospring/settings_errors.py
@@ -13,12 +13,12 @@
 from bamboospring.errors import SettingsError
 from bamboospring import json_source
 
-__all__ = ["first_fault", "nested_model"]
+__all__ = ["first_error", "nested_model"]
 
 SUGGESTION_CUTOFF = 0.6
 
 
-def first_fault(
+def first_error(
     exc: ValidationError, data: Any, *, name: str, model: type[BaseModel]
 ) -> SettingsError:
     """Return the first error in the order of the file, with all others.
@@ -26,20 +26,20 @@
     `data` is the result of `json_source.parse`, and `model` is the model that
     rejected it.
     """
-    faults = _faults(exc, data, name, model)
-    first, *others = sorted(faults, key=lambda each: (each.line, each.column))
+    errors = _make_errors(exc, data, name, model)
+    first, *others = sorted(errors, key=lambda each: (each.line, each.column))
     first.others = tuple(others)
     return first
 
 
-def _faults(
+def _make_errors(
     exc: ValidationError, data: Any, name: str, model: type[BaseModel]
 ) -> list[SettingsError]:
-    faults = []
+    errors = []
     for error in exc.errors(include_url=False):
         path = error["loc"]
         where = json_source.position(data, path)
-        faults.append(
+        errors.append(
             SettingsError(
                 _message(path, error, model),
                 name=name,
@@ -47,7 +47,7 @@
                 column=where.column,
             )
         )
-    return faults
+    return errors
 
 
 def _message(
--- a/bamboospring/settings_reference.py
+++ b/bamboospring/settings_reference.py
@@ -18,7 +18,7 @@
 
 from bamboospring.sessions.settings import SessionSettings
 from bamboospring.settings import Settings
-from bamboospring.settings_faults import nested_model
+from bamboospring.settings_errors import nested_model
 
 __all__ = ["page"]
 
@@ -90,8 +90,10 @@
 
 
 def _row(name: str, field: FieldInfo) -> str:
-    extra = field.json_schema_extra
-    unit = extra.get("unit", "") if isinstance(extra, dict) else ""
+    schema_extra = field.json_schema_extra
+    unit = (
+        schema_extra.get("unit", "") if isinstance(schema_extra, dict) else ""
+    )
     cells = (
         f"`{name}`",
         _type_name(field.annotation),
--- a/bamboospring/tls.py
+++ b/bamboospring/tls.py
@@ -62,15 +62,15 @@
     if keys is None:
         return reactor
     # _TlsReactor implements the methods that servers and clients call.
-    return cast(Reactor, _TlsReactor(reactor=reactor, keys=keys))
+    return cast(Reactor, _TlsReactor(reactor=reactor, credentials=keys))
 
 
 class _TlsReactor:
     """Listen and connect with TLS; timers are those of the reactor."""
 
-    def __init__(self, *, reactor: Reactor, keys: Keys) -> None:
+    def __init__(self, *, reactor: Reactor, credentials: Keys) -> None:
         self._reactor = reactor
-        self._keys = keys
+        self._credentials = credentials
         self.now = reactor.now
         self.call_later = reactor.call_later
 
@@ -86,7 +86,7 @@
                 on_accept(stream)
 
         def accepted(stream: Stream) -> None:
-            tls = self._keys.server.wrap_bio(
+            tls = self._credentials.server.wrap_bio(
                 incoming := ssl.MemoryBIO(),
                 outgoing := ssl.MemoryBIO(),
                 server_side=True,
@@ -100,7 +100,7 @@
             if stream is None:
                 on_open(None)
                 return
-            tls = self._keys.client.wrap_bio(
+            tls = self._credentials.client.wrap_bio(
                 incoming := ssl.MemoryBIO(),
                 outgoing := ssl.MemoryBIO(),
                 server_hostname=split_address(address)[0].strip("[]"),
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -74,10 +74,10 @@
     try:
         settings.parse(context.settings_text)
     except SettingsError as exc:
-        faults = [exc, *exc.others]
+        errors = [exc, *exc.others]
     else:
         raise AssertionError("the settings were accepted")
-    found = [(each.line, each.column, each.message) for each in faults]
+    found = [(each.line, each.column, each.message) for each in errors]
     assert any(
         (at, place) == (line, column) and message in text
         for at, place, text in found
