--- a/bamboospring/http_client.py
+++ b/bamboospring/http_client.py
@@ -35,8 +35,8 @@
 class HttpAnswer:
     """A complete response.
 
-    `header` is the value of the header that the connection captures, or ""
-    if the response does not have it.
+    `header` is the value of the header that the connection
+    captures, or "" if the response does not have it.
     """
 
     status: int
@@ -61,8 +61,8 @@
 class HttpConnection:
     """A client connection, closed for good if its state is uncertain.
 
-    `kept_header` is the lower-case name of the header whose value is returned
-    with each response.
+    `kept_header` is the lower-case name of the header whose value is
+    returned with each response.
     """
 
     __slots__ = (
--- a/bamboospring/http_server.py
+++ b/bamboospring/http_server.py
@@ -53,8 +53,8 @@
 class Bounds:
     """The limits of one request, in bytes and seconds.
 
-    A caller that sends a request very slowly keeps memory in use, so a
-    connection is closed `timeout` seconds after an incomplete request began.
+    A caller that sends a request byte by byte keeps memory in use, so a
+    connection with an incomplete request is closed after `timeout`.
     """
 
     head: int = 16 * 1024
--- a/bamboospring/tls.py
+++ b/bamboospring/tls.py
@@ -1,9 +1,9 @@
 """TLS over the reactor's streams, with the standard library's `ssl`.
 
-`secured` returns an object with the interface of the reactor whose streams are
-encrypted, so that the HTTP and peer protocols need no code for TLS. Only
-TLS 1.3 is supported: it has no renegotiation, so a write never has to wait for
-a read.
+`secured` returns an object with the interface of the reactor whose streams
+are encrypted, so that the HTTP and peer protocols need no code for TLS. Only
+TLS 1.3 is supported: it has no renegotiation, so a write never has to wait
+for a read.
 """
 
 from __future__ import annotations
