--- a/bamboospring/settings_reference.py
+++ b/bamboospring/settings_reference.py
@@ -1,4 +1,4 @@
-"""Write the reference page of all settings from their models."""
+"""Generate the reference page of all settings from their models."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from bamboospring.sessions.settings import SessionSettings
 from bamboospring.settings import Settings
-from bamboospring.settings_faults import model_in
+from bamboospring.settings_errors import nested_model
 
 __all__ = ["page"]
 
@@ -38,7 +38,7 @@
 be used changes nothing and is logged. All other keys need a restart.
 """
 
-SESSIONS = """## A VM that serves sessions
+SESSIONS_INTRODUCTION = """## A VM that serves sessions
 
 What `bamboospring serve-sessions --settings FILE` reads; `bamboospring check
 --sessions FILE` checks it. The file is read again on SIGHUP and when it has
@@ -50,7 +50,7 @@
     """Return the reference page in Markdown."""
     parts = [INTRODUCTION]
     parts.extend(_sections(Settings, ""))
-    parts.append(SESSIONS)
+    parts.append(SESSIONS_INTRODUCTION)
     parts.extend(_sections(SessionSettings, "", level="###"))
     return "\n".join(parts)
 
@@ -61,15 +61,15 @@
     yield _heading(model, prefix, level)
     yield "| key | type | unit | default | bounds | meaning |"
     yield "|---|---|---|---|---|---|"
-    inner = []
+    nested_sections = []
     for name, field in model.model_fields.items():
         yield _row(name, field)
-        below = model_in(field.annotation)
-        if below is not None:
-            inner.append((below, _path(prefix, name, field)))
+        nested = nested_model(field.annotation)
+        if nested is not None:
+            nested_sections.append((nested, _path(prefix, name, field)))
     yield ""
-    for below, path in inner:
-        yield from _sections(below, path, level)
+    for nested, path in nested_sections:
+        yield from _sections(nested, path, level)
 
 
 def _heading(model: type[BaseModel], prefix: str, level: str) -> str:
@@ -90,8 +90,10 @@
 
 
 def _row(name: str, field: FieldInfo) -> str:
-    extra = field.json_schema_extra
-    unit = extra.get("unit", "") if isinstance(extra, dict) else ""
+    schema_extra = field.json_schema_extra
+    unit = (
+        schema_extra.get("unit", "") if isinstance(schema_extra, dict) else ""
+    )
     cells = (
         f"`{name}`",
         _type_name(field.annotation),
@@ -140,7 +142,7 @@
 
 
 def _type_name(annotation: Any) -> str:
-    model = model_in(annotation)
+    model = nested_model(annotation)
     origin = get_origin(annotation)
     if origin is list:
         return "list of sections"
