--- a/bench/binary.py
+++ b/bench/binary.py
@@ -1,9 +1,9 @@
-"""Size, unpacked size, start time and memory of the built program.
+"""Measure file size, unpacked size, start time and memory of the program.
 
     tools/build
     python bench/binary.py dist/bamboospring --out bench/results/binary.json
 
-Starts a serving process (no platform answers it) to read its memory.
+Starts a serving process, whose platform is not reachable, to read its memory.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 import tempfile
 import time
 
-STARTS = 7
+WARM_START_COUNT = 7
 SETTLE_SECONDS = 3.0
 SETTINGS = {
     "vm": "vm-1",
@@ -33,52 +33,55 @@
 
 
 def main() -> None:
-    """Measure and write the result as JSON."""
+    """Measure the built program and write the result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("program", type=Path)
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
     program = args.program.resolve()
-    folder = Path(tempfile.mkdtemp())
-    env = {**os.environ, "SHIV_ROOT": str(folder)}
+    directory = Path(tempfile.mkdtemp())
+    env = {**os.environ, "SHIV_ROOT": str(directory)}
     try:
-        first = _start_seconds(program, env)
-        later = [_start_seconds(program, env) for _ in range(STARTS)]
+        cold_start_seconds = _measure_start_seconds(program, env)
+        warm_start_seconds = [
+            _measure_start_seconds(program, env)
+            for _ in range(WARM_START_COUNT)
+        ]
         result = {
             "file_bytes": program.stat().st_size,
-            "unpacked_bytes": _size(folder),
-            "first_start_s": round(first, 3),
-            "later_start_s": round(statistics.median(later), 3),
+            "unpacked_bytes": _directory_bytes(directory),
+            "first_start_s": round(cold_start_seconds, 3),
+            "later_start_s": round(statistics.median(warm_start_seconds), 3),
             "later_start_s_range": [
-                round(min(later), 3),
-                round(max(later), 3),
+                round(min(warm_start_seconds), 3),
+                round(max(warm_start_seconds), 3),
             ],
-            **_memory(program, env, folder),
+            **_measure_memory(program, env, directory),
         }
     finally:
-        shutil.rmtree(folder)
+        shutil.rmtree(directory)
     text = json.dumps(result, indent=2)
     print(text)
     if args.out is not None:
         args.out.write_text(text + "\n")
 
 
-def _start_seconds(program: Path, env: dict[str, str]) -> float:
-    begun = time.perf_counter()
+def _measure_start_seconds(program: Path, env: dict[str, str]) -> float:
+    started_at = time.perf_counter()
     subprocess.run([program, "version"], env=env, check=True)
-    return time.perf_counter() - begun
+    return time.perf_counter() - started_at
 
 
-def _size(folder: Path) -> int:
+def _directory_bytes(directory: Path) -> int:
     return sum(
-        path.stat().st_size for path in folder.rglob("*") if path.is_file()
+        path.stat().st_size for path in directory.rglob("*") if path.is_file()
     )
 
 
-def _memory(
-    program: Path, env: dict[str, str], folder: Path
+def _measure_memory(
+    program: Path, env: dict[str, str], directory: Path
 ) -> dict[str, int]:
-    settings = folder / "vm.json"
+    settings = directory / "vm.json"
     settings.write_text(json.dumps(SETTINGS))
     process = subprocess.Popen(
         [program, "serve", "--settings", settings],
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
-"""Write docs/CAPACITY.md from the raw numbers in bench/results.
+"""Generate docs/CAPACITY.md from the raw results in bench/results.
 
     python bench/capacity.py > docs/CAPACITY.md
 
-Each figure is worked from a slope that was measured and from sizes that are
-given. What has no result file is listed as not measured, never filled in.
+Each figure is computed from a measured slope and a given size. A result whose
+file is missing is listed as not measured; no value is assumed for it.
 """
 
 from __future__ import annotations
@@ -21,70 +21,84 @@
 
 RESULTS = Path(__file__).resolve().parent / "results"
 
-# Sizes to design for.
+# The design size of a fleet.
 VMS = 480
 GROUPS = 530
 CONNECTIONS = 4_200_000
-STATEMENTS = 880_000
-EDITS_A_DAY = 2_100
-PRIMARY_CHANGES_A_DAY = 2
-REPLACEMENTS_A_DAY = 72
+STATEMENTS_PER_SECOND = 880_000
+EDITS_PER_DAY = 2_100
+PRIMARY_CHANGES_PER_DAY = 2
+VM_REPLACEMENTS_PER_DAY = 72
 ZONES = 8
 BUCKETS = 16
-DAY = 86_400
-# Bounds for control on each VM.
-CPU_BOUND = 1.8
-MEMORY_BOUND = 64
-BYTES_BOUND = 9_000
-GAP_BOUND_MS = 19_000
+SECONDS_PER_DAY = 86_400
+# Bounds on the cost of control on each VM.
+MAX_CPU_PERCENT = 1.8
+MAX_MEMORY_MB = 64
+MAX_BYTES_PER_SECOND = 9_000
+MAX_FAILOVER_GAP_MS = 19_000
 READ_SHARE = 0.8
-# Runs of fewer VMs hold more groups each than the size to design for.
-LARGE_FLEET = 240
-MEGABYTE = 1_000_000
+# In smaller runs, each VM holds more groups than at the design size.
+LARGE_FLEET_VMS = 240
+BYTES_PER_MB = 1_000_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Row:
-    """One line of a role's table."""
+    """One row in the table of a role."""
 
-    what: str
+    label: str
     figure: str
-    worked: str
+    derivation: str
     mechanism: str
     verdict: str = ""
 
 
-def load(name: str) -> Any:
-    """Return a result file's data, or None if there is none."""
+def load_result(name: str) -> Any:
+    """Return the data of a result file, or None if it does not exist."""
     path = RESULTS / f"{name}.json"
     return json.loads(path.read_text()) if path.exists() else None
 
 
-MISSING: list[str] = []
+MISSING_RESULTS: list[str] = []
 
 
-def need(name: str, what: str) -> Any:
-    """Return a result, noting what cannot be said without it."""
-    data = load(name)
+def load_required(name: str, description: str) -> Any:
+    """Return a result, and list it as not measured if there is none."""
+    data = load_result(name)
     if data is None:
-        MISSING.append(f"{what} (`bench/results/{name}.json` is not there)")
+        MISSING_RESULTS.append(
+            f"{description} (`bench/results/{name}.json` is not there)"
+        )
     return data
 
 
-def verdict(value: float, bound: float) -> str:
-    """Say whether a figure is within a bound, and how far over if not."""
+def compare_with_bound(value: float, bound: float) -> str:
+    """Return whether a value is within a bound, or the excess factor."""
     if value <= bound:
         return f"holds ({value / bound:.0%} of the bound)"
     return f"**does not hold: factor {value / bound:.1f}**"
 
 
 def main() -> None:
-    """Print the page."""
-    parts = [INTRODUCTION, sizes(), slopes(), entry(), holder(), steward()]
-    parts += [spread(), platform(), control(), events()]
-    sweeps = need("fleet_sizes", "VMs that serve sessions, by size")
+    """Print the page as Markdown."""
+    parts = [
+        INTRODUCTION,
+        sizes_section(),
+        slopes_section(),
+        entry_section(),
+        holder_section(),
+        steward_section(),
+    ]
+    parts += [
+        spread_section(),
+        platform_section(),
+        control_section(),
+        events_section(),
+    ]
+    sweeps = load_required("fleet_sizes", "VMs that serve sessions, by size")
     parts += [] if sweeps is None else [section(sweeps)]
-    parts += [gaps()]
+    parts += [gaps_section()]
     print("\n".join(parts))
 
 
@@ -101,8 +115,8 @@
 """
 
 
-def sizes() -> str:
-    """Return what each VM gets at the size to design for."""
+def sizes_section() -> str:
+    """Return the section on the design size and the part of each VM."""
     lines = [
         "## Sizes",
         "",
@@ -111,26 +125,27 @@
         f"| caller connections | {CONNECTIONS:,} | "
         f"{CONNECTIONS / VMS:,.0f} |",
         f"| statements a second, {READ_SHARE:.0%} reads (our assumption) | "
-        f"{STATEMENTS:,} | {STATEMENTS / VMS:,.0f} |",
-        f"| groups | {GROUPS} | {holder_mean():.2f} held (3 holders each) |",
-        f"| edits a day | {EDITS_A_DAY:,} | each reaches all |",
-        f"| changes of primary a day | {PRIMARY_CHANGES_A_DAY} | |",
-        f"| VMs replaced a day | {REPLACEMENTS_A_DAY} | |",
+        f"{STATEMENTS_PER_SECOND:,} | {STATEMENTS_PER_SECOND / VMS:,.0f} |",
+        f"| groups | {GROUPS} | "
+        f"{mean_held_groups():.2f} held (3 holders each) |",
+        f"| edits a day | {EDITS_PER_DAY:,} | each reaches all |",
+        f"| changes of primary a day | {PRIMARY_CHANGES_PER_DAY} | |",
+        f"| VMs replaced a day | {VM_REPLACEMENTS_PER_DAY} | |",
         "",
     ]
     return "\n".join(lines)
 
 
-def holder_mean() -> float:
+def mean_held_groups() -> float:
     """Return the mean number of groups that a VM holds."""
     return 3 * GROUPS / VMS
 
 
-# Slopes.
+# Measured slopes.
 
 
-def slopes() -> str:
-    """Return the table of all measured slopes."""
+def slopes_section() -> str:
+    """Return the section with all measured slopes."""
     lines = [
         "## Slopes",
         "",
@@ -151,19 +166,19 @@
 
 
 def statement_slopes() -> list[str]:
-    data = need("statement_cost", "processor time of each statement")
+    data = load_required("statement_cost", "processor time of each statement")
     if data is None:
         return []
     lines = []
     for kind in ("read", "write"):
         points = len(data[kind]["points"])
         for role, key in (("entry", "entry_us"), ("holder", "holder_us")):
-            found = data[kind][key]
+            cost = data[kind][key]
             name = "holders" if role == "holder" else role
             r2 = data[kind]["fits"][name]["r2"]
             lines.append(
                 f"| processor time of a {kind} at the {role} | "
-                f"{found['slope']:.0f} us | ± {found['error']:.0f} us "
+                f"{cost['slope']:.0f} us | ± {cost['error']:.0f} us "
                 f"({points} points, R² {r2:.3f}, load average "
                 f"{data['load_average'][0]:.0f}) | "
                 "`bench/statement_cost.py` |"
@@ -172,32 +187,33 @@
 
 
 def connection_slopes() -> list[str]:
-    data = need("connections", "memory of each caller connection")
+    data = load_required("connections", "memory of each caller connection")
     if data is None:
         return []
     lines = []
     for kind, name in (("plain", "plain"), ("tls", "TLS")):
-        found = data[kind]
+        measured = data[kind]
         lines.append(
             f"| memory of an idle caller connection, {name}, up to "
-            f"{found['points'][-1]['connections']:,} | "
-            f"{found['bytes_each']:,} B | ± {found['bytes_each_error']} B "
-            f"({found['fit']['points']} points, "
-            f"R² {found['fit']['r2']:.4f}) | `bench/connections.py` |"
+            f"{measured['points'][-1]['connections']:,} | "
+            f"{measured['bytes_each']:,} B | "
+            f"± {measured['bytes_each_error']} B "
+            f"({measured['fit']['points']} points, "
+            f"R² {measured['fit']['r2']:.4f}) | `bench/connections.py` |"
         )
-        opened = [point["open_us"] for point in found["points"][1:]]
+        open_costs_us = [point["open_us"] for point in measured["points"][1:]]
         lines.append(
             f"| processor time to accept one with its first request, {name} "
-            f"| {sorted(opened)[len(opened) // 2]:,} us | "
-            f"{min(opened):,} to {max(opened):,} us | "
+            f"| {sorted(open_costs_us)[len(open_costs_us) // 2]:,} us | "
+            f"{min(open_costs_us):,} to {max(open_costs_us):,} us | "
             "`bench/connections.py` |"
         )
     return lines
 
 
-def idle_line() -> Line | None:
-    """Return memory in KB over many idle plain connections."""
-    data = load("idle_connections")
+def fit_idle_connections() -> Line | None:
+    """Return memory in KB as a line over the number of idle connections."""
+    data = load_result("idle_connections")
     if data is None:
         return None
     steps = data["steps"]
@@ -208,8 +224,8 @@
 
 
 def idle_slopes() -> list[str]:
-    data = need("idle_connections", "memory up to 16,000 connections")
-    line = idle_line()
+    data = load_required("idle_connections", "memory up to 16,000 connections")
+    line = fit_idle_connections()
     if data is None or line is None:
         return []
     steps = data["steps"]
@@ -222,7 +238,7 @@
 
 
 def metrics_slopes() -> list[str]:
-    data = need("metrics_cost", "cost of counting")
+    data = load_required("metrics_cost", "cost of counting")
     if data is None:
         return []
     plain = data["plain_us"]
@@ -237,7 +253,7 @@
 
 
 def binary_slopes() -> list[str]:
-    data = need("binary", "memory of the program")
+    data = load_required("binary", "memory of the program")
     if data is None:
         return []
     return [
@@ -245,19 +261,19 @@
         f"{data['resident_kb'] / 1000:.1f} MB | one run | "
         "`bench/binary.py` |",
         f"| file and unpacked program in memory | "
-        f"{(data['file_bytes'] + data['unpacked_bytes']) / MEGABYTE:.1f} MB | "
-        "exact | `bench/binary.py` |",
+        f"{(data['file_bytes'] + data['unpacked_bytes']) / BYTES_PER_MB:.1f}"
+        " MB | exact | `bench/binary.py` |",
     ]
 
 
 def control_slopes() -> list[str]:
-    runs = need("control", "control's slopes against groups and VMs")
+    runs = load_required("control", "control's slopes against groups and VMs")
     if runs is None:
         return []
     lines = []
     for run in runs:
         lines.append(
-            f"| control of {role_of(run)}, {run['groups']} groups, "
+            f"| control of {describe_role(run)}, {run['groups']} groups, "
             f"{run['vms']} VMs, {run['held_groups']} held | "
             f"{run['cpu_percent']:.2f} % of a "
             f"core, {run['resident_mb']:.1f} MB, "
@@ -267,22 +283,22 @@
     return lines
 
 
-def role_of(run: dict[str, Any]) -> str:
-    """Return what the measured VM was, with its article."""
+def describe_role(run: dict[str, Any]) -> str:
+    """Return the role of the measured VM with its article."""
     if run["watcher"]:
         return "a watcher of the platform"
     return "a steward" if run.get("steward") else "a VM"
 
 
 def control_bytes(run: dict[str, Any]) -> float:
-    """Return all bytes of control a second of one run."""
+    """Return the bytes per second of all control traffic in a run."""
     return float(
         run["peer_bytes"] + run["platform_bytes"] + run["target_bytes"]
     )
 
 
 def overhead_slopes() -> list[str]:
-    data = need("overhead", "latency added to a statement")
+    data = load_required("overhead", "latency added to a statement")
     if data is None:
         return []
     added = data["added_over_direct"]["entry_and_holder"]
@@ -293,40 +309,41 @@
     ]
 
 
-# Roles.
+# Sections of the roles.
 
 
-def table(title: str, state: str, rows: Sequence[Row]) -> str:
-    """Return a role's section."""
-    lines = [f"## {title}", "", f"State: {state}", ""]
+def role_section(title: str, held_state: str, rows: Sequence[Row]) -> str:
+    """Return the section of a role."""
+    lines = [f"## {title}", "", f"State: {held_state}", ""]
     lines += [
         "| | figure | worked from | mechanism | |",
         "|---|---|---|---|---|",
     ]
     lines += [
-        f"| {row.what} | {row.figure} | {row.worked} | {row.mechanism} | "
+        f"| {row.label} | {row.figure} | {row.derivation} | {row.mechanism} | "
         f"{row.verdict} |"
         for row in rows
     ]
     return "\n".join([*lines, ""])
 
 
-def mixed_us(data: Any, role: str) -> tuple[float, float]:
-    """Return a statement's cost in us and its error, 4 reads to 1 write.
+def mixed_statement_cost_us(data: Any, role: str) -> tuple[float, float]:
+    """Return the cost of a statement and its error in us, 4 reads to 1 write.
 
-    It is what the largest rate of the bench took, about that of a VM at the
-    size to design for, control included. The slope would be too low: the
-    first statements cost more than the last, since a wake-up then serves one.
+    This is the cost at the largest measured rate, which is about the rate of a
+    VM at the design size. It includes control. The slope would be too low:
+    statements at a low rate cost more than further ones at a high rate,
+    because a wake-up of the event loop then serves only one of them.
     """
-    read = cost_at_most(data["read"]["points"], role)
-    write = cost_at_most(data["write"]["points"], role)
+    read = cost_at_max_rate(data["read"]["points"], role)
+    write = cost_at_max_rate(data["write"]["points"], role)
     value = READ_SHARE * read[0] + (1 - READ_SHARE) * write[0]
     error = READ_SHARE * read[1] + (1 - READ_SHARE) * write[1]
     return value, error
 
 
-def cost_at_most(points: Sequence[Any], role: str) -> tuple[float, float]:
-    """Return the mean cost in us at the largest rate, and half its range."""
+def cost_at_max_rate(points: Sequence[Any], role: str) -> tuple[float, float]:
+    """Return the mean cost in us at the largest rate and half its range."""
     largest = max(point["asked_per_s"] for point in points)
     costs = [
         1e6 * point[role] / point["per_s"]
@@ -336,34 +353,35 @@
     return sum(costs) / len(costs), (max(costs) - min(costs)) / 2
 
 
-def entry() -> str:
-    """Return the entry's section."""
+def entry_section() -> str:
+    """Return the section of the entry."""
     rows = []
-    rate = STATEMENTS / VMS
-    data = load("statement_cost")
+    rate = STATEMENTS_PER_SECOND / VMS
+    data = load_result("statement_cost")
     if data is not None:
-        value, error = mixed_us(data, "entry")
+        value, error = mixed_statement_cost_us(data, "entry")
         cores = value * rate / 1e6
         rows.append(
             Row(
-                what="processor time",
+                label="processor time",
                 figure=f"{cores:.2f} ± {error * rate / 1e6:.2f} cores",
-                worked=f"{value:.0f} us x {rate:,.0f}/s, {READ_SHARE:.0%} "
+                derivation=f"{value:.0f} us x {rate:,.0f}/s, {READ_SHARE:.0%} "
                 "reads; cost at the largest rate measured",
                 mechanism="one pass without events; httptools, Cap'n Proto",
-                verdict=verdict(cores, 1.0) + " against one process's core",
+                verdict=compare_with_bound(cores, 1.0)
+                + " against one process's core",
             )
         )
     rows += connection_rows()
     rows.append(
         Row(
-            what="messages",
+            label="messages",
             figure=f"{rate:,.0f} forwards/s and as many answers",
-            worked="3 of 480 VMs hold a group: 99.4 % are forwarded",
+            derivation="3 of 480 VMs hold a group: 99.4 % are forwarded",
             mechanism="one link for each pair of VMs that talk",
         )
     )
-    return table(
+    return role_section(
         "Entry (every VM)",
         "for each connection a parser and a socket; for each statement in "
         "flight its token and deadline; nothing for a session.",
@@ -372,51 +390,51 @@
 
 
 def connection_rows() -> list[Row]:
-    data = load("connections")
+    data = load_result("connections")
     if data is None:
         return []
-    each = CONNECTIONS / VMS
+    connections_per_vm = CONNECTIONS / VMS
     rows = []
     for kind, name in (("plain", "plain text"), ("tls", "TLS")):
         size = data[kind]["bytes_each"]
-        wrong = data[kind]["bytes_each_error"]
-        line = idle_line()
+        size_error = data[kind]["bytes_each_error"]
+        line = fit_idle_connections()
         if kind == "plain" and line is not None:
-            # Measured up to and beyond the number that is asked for.
+            # This run exceeds the number of connections at the design size.
             size = round(line.slope * 1024)
-            wrong = round(line.slope_error * 1024)
-        total = size * each / MEGABYTE
-        error = wrong * each / MEGABYTE
+            size_error = round(line.slope_error * 1024)
+        total = size * connections_per_vm / BYTES_PER_MB
+        error = size_error * connections_per_vm / BYTES_PER_MB
         rows.append(
             Row(
-                what=f"memory of connections, {name}",
+                label=f"memory of connections, {name}",
                 figure=f"{total:.0f} ± {error:.0f} MB",
-                worked=f"{size:,} B x {each:,.0f}",
+                derivation=f"{size:,} B x {connections_per_vm:,.0f}",
                 mechanism=(
                     "no buffer while idle; sessions are in tokens"
                     if kind == "plain"
                     else "TLS 1.3 by the standard library, no resumption"
                 ),
-                verdict=verdict(size, 8_000) + " of 8 KB each",
+                verdict=compare_with_bound(size, 8_000) + " of 8 KB each",
             )
         )
     return rows
 
 
-def holder() -> str:
-    """Return the holder's section."""
+def holder_section() -> str:
+    """Return the section of the holder."""
     rows = []
-    placement = need("placement", "shares at 480 VMs")
-    data = load("statement_cost")
-    rate = STATEMENTS / VMS
+    placement = load_required("placement", "shares at 480 VMs")
+    data = load_result("statement_cost")
+    rate = STATEMENTS_PER_SECOND / VMS
     if placement is not None:
         held = placement["held_groups"]
         rows.append(
             Row(
-                what="groups held",
+                label="groups held",
                 figure=f"{held['mean']} on average, {held['most']} at most, "
                 f"none at {held['vms_with_none']} VMs",
-                worked="`bench/placement.py`, exact for one list of names",
+                derivation="`bench/placement.py`, exact for one list of names",
                 mechanism="rendezvous hashing with a bounded load, spread "
                 "over zones; plain, the fullest held "
                 f"{placement['held_groups_plain']['most']}",
@@ -425,40 +443,41 @@
             )
         )
     if data is not None:
-        value, error = mixed_us(data, "holders")
+        value, error = mixed_statement_cost_us(data, "holders")
         cores = value * rate / 1e6
         rows.append(
             Row(
-                what="processor time, average VM",
+                label="processor time, average VM",
                 figure=f"{cores:.2f} ± {error * rate / 1e6:.2f} cores",
-                worked=f"{value:.0f} us x {rate:,.0f}/s; cost at the "
+                derivation=f"{value:.0f} us x {rate:,.0f}/s; cost at the "
                 "largest rate measured",
                 mechanism="the holder owns connections and waits for the "
                 "majority once for all callers",
-                verdict=verdict(cores, 1.0) + " against one process's core",
+                verdict=compare_with_bound(cores, 1.0)
+                + " against one process's core",
             )
         )
         if placement is not None:
-            most = held["most"] / held["mean"]
+            load_factor = held["most"] / held["mean"]
             rows.append(
                 Row(
-                    what="processor time, fullest VM",
-                    figure=f"{cores * most:.2f} cores",
-                    worked=f"the same x {most:.1f}",
+                    label="processor time, fullest VM",
+                    figure=f"{cores * load_factor:.2f} cores",
+                    derivation=f"the same x {load_factor:.1f}",
                     mechanism="groups pass over a VM with 1.2 times the "
                     "average; they count alike, whatever their load",
-                    verdict=verdict(cores * most, 1.0),
+                    verdict=compare_with_bound(cores * load_factor, 1.0),
                 )
             )
     rows.append(
         Row(
-            what="connections to targets",
+            label="connections to targets",
             figure="20 of each target, split among 3 holders",
-            worked="limits are split exactly (`shares.py`)",
+            derivation="limits are split exactly (`shares.py`)",
             mechanism="a new holder begins with what is surely free",
         )
     )
-    return table(
+    return role_section(
         "Holder (3 VMs of each group)",
         "for each held group its record, its targets' positions, its "
         "connections, open transactions, waiting statements (bounded).",
@@ -466,33 +485,33 @@
     )
 
 
-def steward() -> str:
-    """Return the steward's section."""
+def steward_section() -> str:
+    """Return the section of the steward."""
     groups = GROUPS / BUCKETS
     rows = [
         Row(
-            what="groups led",
+            label="groups led",
             figure=f"{groups:.0f} in each of {BUCKETS} buckets",
-            worked=f"{GROUPS} / {BUCKETS}",
+            derivation=f"{GROUPS} / {BUCKETS}",
             mechanism="leases for buckets: calls do not grow with groups "
             "or VMs",
         ),
         Row(
-            what="probes of targets",
+            label="probes of targets",
             figure=f"{groups * 3 / 2:.0f}/s",
-            worked=f"{groups:.0f} groups x 3 targets, each every 2 s",
+            derivation=f"{groups:.0f} groups x 3 targets, each every 2 s",
             mechanism="only the steward and holders ask targets",
         ),
         Row(
-            what="zone lost: changes at once",
+            label="zone lost: changes at once",
             figure=f"{GROUPS / ZONES / BUCKETS:.1f} for each steward",
-            worked=f"{GROUPS} / {ZONES} zones / {BUCKETS} buckets, if "
+            derivation=f"{GROUPS} / {ZONES} zones / {BUCKETS} buckets, if "
             "primaries are spread evenly",
             mechanism="8 lanes to the platform, changes run side by side",
         ),
     ]
     rows += failover_rows()
-    return table(
+    return role_section(
         "Steward (the VM with a bucket's lease)",
         "for each led group the last answers of its targets and suspicions; "
         "a change under way.",
@@ -501,146 +520,149 @@
 
 
 def failover_rows() -> list[Row]:
-    """Return the measured gaps of each kind of failure."""
-    gap = need("failover", "the failover gap and its steps")
+    """Return the measured failover gap for each kind of failure."""
+    kinds = load_required("failover", "the failover gap and its steps")
     return [
         failover_row(kind, found["summary"])
-        for kind, found in (gap or {}).items()
+        for kind, found in (kinds or {}).items()
         if isinstance(found, dict) and "summary" in found
     ]
 
 
 def failover_row(kind: str, summary: dict[str, Any]) -> Row:
-    """Return one kind's gap with the steps that it is made of."""
+    """Return the gap of one kind of failure and the steps in it."""
     steps = ", ".join(
         f"{name.removesuffix('_ms')} {times['median']:.0f}"
         for name, times in summary.items()
         if name.endswith("_ms") and name != "gap_ms" and times["median"]
     )
-    worst = summary["gap_ms"]["max"]
+    max_ms = summary["gap_ms"]["max"]
     return Row(
-        what=f"failover gap, {kind.replace('_', ' ')}",
+        label=f"failover gap, {kind.replace('_', ' ')}",
         figure=f"median {summary['gap_ms']['median']:.0f} ms, most "
-        f"{worst:.0f} ms of {summary['runs']} runs (steps, median ms: "
+        f"{max_ms:.0f} ms of {summary['runs']} runs (steps, median ms: "
         f"{steps})",
-        worked="`bench/failover.py`, one group, real processes on one machine",
+        derivation="`bench/failover.py`, one group, real processes on one "
+        "machine",
         mechanism="suspicion by several zones, lease, term, fence",
-        verdict=verdict(worst, GAP_BOUND_MS) + " of 19 s",
+        verdict=compare_with_bound(max_ms, MAX_FAILOVER_GAP_MS) + " of 19 s",
     )
 
 
-def edit_rows(most_hops: int) -> list[Row]:
-    """Return the measured time until an edit is in force, and at 480 VMs."""
-    data = need("edit_spread", "time until an edit is in force")
+def edit_rows(max_hops: int) -> list[Row]:
+    """Return the time until an edit is in force, measured and at 480 VMs."""
+    data = load_required("edit_spread", "time until an edit is in force")
     if data is None:
         return []
-    load = data["under_load"]
-    worst = load["in_force_ms"]["max"]
+    loaded = data["under_load"]
+    max_ms = loaded["in_force_ms"]["max"]
     return [
         Row(
-            what=f"edit in force at {load['vms']} VMs under load",
-            figure=f"median {load['in_force_ms']['median']:.0f} ms, most "
-            f"{worst:.0f} ms of {load['edits']} edits",
-            worked="`bench/edit_spread.py`",
+            label=f"edit in force at {loaded['vms']} VMs under load",
+            figure=f"median {loaded['in_force_ms']['median']:.0f} ms, most "
+            f"{max_ms:.0f} ms of {loaded['edits']} edits",
+            derivation="`bench/edit_spread.py`",
             mechanism="announced at once, asked for once",
-            verdict=verdict(worst, 8_000) + " of 8 s",
+            verdict=compare_with_bound(max_ms, 8_000) + " of 8 s",
         ),
         Row(
-            what="edit in force at 480 VMs",
-            figure=f"{worst * most_hops / 1000:.1f} s",
-            worked=f"the most of {worst:.0f} ms for each of {most_hops} hops; "
-            "without the ways between regions",
+            label="edit in force at 480 VMs",
+            figure=f"{max_ms * max_hops / 1000:.1f} s",
+            derivation=f"the most of {max_ms:.0f} ms for each of {max_hops} "
+            "hops; without the ways between regions",
             mechanism="the same",
-            verdict=verdict(worst * most_hops, 8_000) + " of 8 s",
+            verdict=compare_with_bound(max_ms * max_hops, 8_000) + " of 8 s",
         ),
     ]
 
 
 def placement_rows() -> list[Row]:
-    """Return what a change of the list of VMs costs each VM."""
-    data = need("movement", "cost of placing groups")
+    """Return the cost of a changed list of VMs at each VM."""
+    data = load_required("movement", "cost of placing groups")
     if data is None:
         return []
     run = max(data, key=lambda each: each["vms"])
-    seconds = run["list_change_ms_median"] / 1e3
-    changes = 2 * REPLACEMENTS_A_DAY
+    change_seconds = run["list_change_ms_median"] / 1e3
+    changes_per_day = 2 * VM_REPLACEMENTS_PER_DAY
     return [
         Row(
-            what="a change of the list of VMs",
-            figure=f"{seconds * 1e3:.1f} ms of a core at each VM, {changes} "
-            "times a day",
-            worked=f"{GROUPS} groups placed anew at {run['vms']} VMs "
+            label="a change of the list of VMs",
+            figure=f"{change_seconds * 1e3:.1f} ms of a core at each VM, "
+            f"{changes_per_day} times a day",
+            derivation=f"{GROUPS} groups placed anew at {run['vms']} VMs "
             "(`bench/movement.py`); a replacement changes the list twice",
             mechanism="only groups that have the VM among the first of a "
             "zone are ranked again: "
             f"{run['list_change_to_ranking_all']:.3f} of ranking all",
-            verdict=f"{seconds * changes / DAY:.4%} of a core on average",
+            verdict=f"{change_seconds * changes_per_day / SECONDS_PER_DAY:.4%}"
+            " of a core on average",
         )
     ]
 
 
-def spread() -> str:
-    """Return the section on what goes from peer to peer."""
+def spread_section() -> str:
+    """Return the section on the exchange of edits between peers."""
     rows = []
-    placement = load("placement")
+    placement = load_result("placement")
     if placement is not None:
         hops = placement["edit_hops"]
         links = placement["links"]
         lost = placement["edit_hops_zone_lost"]
         rows = [
             Row(
-                what="way of an edit",
+                label="way of an edit",
                 figure=f"{hops['mean']} hops on average, {hops['most']} at "
                 f"most, all VMs reached",
-                worked="`bench/placement.py`: the real neighbours of 480 VMs",
+                derivation="`bench/placement.py`: the real neighbours of "
+                "480 VMs",
                 mechanism="6 watchers of the platform, 4 neighbours each way "
                 "to choose",
             ),
             Row(
-                what="the same, a zone lost",
+                label="the same, a zone lost",
                 figure=f"{lost['mean']} and {lost['most']} hops, "
                 f"{lost['not_reached']} VMs not reached",
-                worked="the same without one zone",
+                derivation="the same without one zone",
                 mechanism="neighbours in own zone, another, another region",
             ),
             Row(
-                what="announcements for each edit",
+                label="announcements for each edit",
                 figure=f"{links['mean']} at a VM on average, {links['most']} "
                 "at most",
-                worked="links of the neighbours' graph",
+                derivation="links of the neighbours' graph",
                 mechanism="versions are told, contents asked for once",
             ),
             Row(
-                what="edits a second",
-                figure=f"{EDITS_A_DAY / DAY:.3f}",
-                worked=f"{EDITS_A_DAY:,} a day",
+                label="edits a second",
+                figure=f"{EDITS_PER_DAY / SECONDS_PER_DAY:.3f}",
+                derivation=f"{EDITS_PER_DAY:,} a day",
                 mechanism="a shard of 16 is sent, not the table",
             ),
         ]
         rows += edit_rows(hops["most"])
     rows += placement_rows()
-    return table(
+    return role_section(
         "Peer spread (every VM)",
         "versions of 16 shards and the list of VMs; the whole table and list.",
         rows,
     )
 
 
-def platform() -> str:
-    """Return the platform's section."""
+def platform_section() -> str:
+    """Return the section of the platform."""
     rows = []
-    runs = load("control")
+    runs = load_result("control")
     if runs is not None:
         rows += platform_rows(runs)
     rows.append(
         Row(
-            what="edits",
-            figure=f"{2 * EDITS_A_DAY / DAY:.3f} calls/s",
-            worked="a read and a conditional update for each",
+            label="edits",
+            figure=f"{2 * EDITS_PER_DAY / SECONDS_PER_DAY:.3f} calls/s",
+            derivation="a read and a conditional update for each",
             mechanism="one object for each shard",
         )
     )
-    return table(
+    return role_section(
         "Platform (the object API)",
         "16 leases, 16 shards, 530 groups, the list of VMs.",
         rows,
@@ -648,20 +670,20 @@
 
 
 def platform_rows(runs: list[dict[str, Any]]) -> list[Row]:
-    """Return calls a second of the fleet, from a watcher and another VM."""
+    """Return calls per second of the fleet, from a watcher and another VM."""
     rows = []
-    small = [run for run in runs if run["platform_calls"].get("lease")]
-    if small:
-        run = min(small, key=lambda each: each["vms"])
+    lease_runs = [run for run in runs if run["platform_calls"].get("lease")]
+    if lease_runs:
+        run = min(lease_runs, key=lambda each: each["vms"])
         each = run["platform_calls"]["lease"]
         rows.append(
             Row(
-                what="calls for leases",
+                label="calls for leases",
                 figure=f"{each * run['vms']:.1f}/s",
-                worked=f"{each:.2f}/s at one of {run['vms']} VMs; the 16 "
+                derivation=f"{each:.2f}/s at one of {run['vms']} VMs; the 16 "
                 "buckets are the same in any fleet",
                 mechanism="leases for buckets; few candidates for each",
-                verdict=verdict(each * run["vms"], 300)
+                verdict=compare_with_bound(each * run["vms"], 300)
                 + " of 300 writes/s, were all of them writes",
             )
         )
@@ -669,14 +691,14 @@
         (True, 6, "6 watchers"),
         (False, VMS - 6, f"{VMS - 6} other VMs"),
     ):
-        found = [
+        role_runs = [
             run
             for run in runs
             if run["watcher"] == watcher and not run.get("steward")
         ]
-        if not found:
+        if not role_runs:
             continue
-        run = max(found, key=lambda each: (each["vms"], each["groups"]))
+        run = max(role_runs, key=lambda each: (each["vms"], each["groups"]))
         total = sum(run["platform_calls"].values())
         parts = ", ".join(
             f"{purpose} {calls:.3f}"
@@ -684,21 +706,21 @@
         )
         rows.append(
             Row(
-                what=f"calls of {name}",
+                label=f"calls of {name}",
                 figure=f"{total * count:.1f}/s",
-                worked=f"{total:.3f}/s each at {run['vms']} VMs ({parts})",
+                derivation=f"{total:.3f}/s each at {run['vms']} VMs ({parts})",
                 mechanism="few watch for all; one call in flight for each "
                 "purpose, backed off",
-                verdict=verdict(total * count, 2_000)
+                verdict=compare_with_bound(total * count, 2_000)
                 + " of 2,000 reads/s, were all of them reads",
             )
         )
     return rows
 
 
-def control() -> str:
-    """Return control's cost on each VM against its bounds."""
-    runs = load("control")
+def control_section() -> str:
+    """Return the section on the cost of control on each VM and its bounds."""
+    runs = load_result("control")
     lines = ["## Control on each VM", ""]
     if runs is None:
         return "\n".join([*lines, "Not measured yet.", ""])
@@ -712,21 +734,22 @@
             continue
         rate = control_bytes(run)
         lines.append(
-            f"| {role_of(run)}, {run['groups']} groups, {run['vms']} VMs, "
-            f"{run['held_groups']} held | "
+            f"| {describe_role(run)}, {run['groups']} groups, "
+            f"{run['vms']} VMs, {run['held_groups']} held | "
             f"{run['cpu_percent']:.2f} %: "
-            f"{verdict(run['cpu_percent'], CPU_BOUND)} | "
+            f"{compare_with_bound(run['cpu_percent'], MAX_CPU_PERCENT)} | "
             f"{run['resident_mb']:.1f} MB: "
-            f"{verdict(run['resident_mb'], MEMORY_BOUND)} | "
-            f"{rate / 1000:.2f} KB/s: {verdict(rate, BYTES_BOUND)} |"
+            f"{compare_with_bound(run['resident_mb'], MAX_MEMORY_MB)} | "
+            f"{rate / 1000:.2f} KB/s: "
+            f"{compare_with_bound(rate, MAX_BYTES_PER_SECOND)} |"
         )
     lines += [*entry_only_control(), "", *control_fits(runs), ""]
     return "\n".join(lines)
 
 
 def entry_only_control() -> list[str]:
-    """Return the row of an entry-only process, which comes on top."""
-    data = load("workers_control")
+    """Return the row of an entry-only process, whose cost is additional."""
+    data = load_result("workers_control")
     if data is None:
         return []
     run = data["control"]["entry_only"]
@@ -738,95 +761,101 @@
     ]
 
 
-CONTROL: tuple[tuple[str, float, Callable[[Any], float]], ...] = (
-    ("processor, % of a core", CPU_BOUND, lambda r: r["cpu_percent"]),
-    ("memory, MB", MEMORY_BOUND, lambda r: r["resident_mb"]),
-    ("KB/s", BYTES_BOUND / 1000, lambda r: control_bytes(r) / 1000),
+CONTROL_COSTS: tuple[tuple[str, float, Callable[[Any], float]], ...] = (
+    ("processor, % of a core", MAX_CPU_PERCENT, lambda r: r["cpu_percent"]),
+    ("memory, MB", MAX_MEMORY_MB, lambda r: r["resident_mb"]),
+    ("KB/s", MAX_BYTES_PER_SECOND / 1000, lambda r: control_bytes(r) / 1000),
 )
 
 
 def held_runs(runs: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return the runs through which a line over held groups goes."""
+    """Return the runs to fit over held groups, if enough of them differ."""
     found = [
         run
         for run in runs
         if not run["watcher"]
         and not run.get("steward")
-        and run["vms"] >= LARGE_FLEET
+        and run["vms"] >= LARGE_FLEET_VMS
     ]
     return found if len({run["held_groups"] for run in found}) > 2 else []
 
 
-def held_line(
+def fit_held_groups(
     runs: list[dict[str, Any]], read: Callable[[Any], float]
 ) -> Line:
-    """Return a cost of control over held groups."""
+    """Return a cost of control as a line over held groups."""
     return fit([run["held_groups"] for run in runs], [read(r) for r in runs])
 
 
-def most_held() -> int:
-    """Return the groups that the fullest VM holds."""
-    placement = load("placement")
+def max_held_groups() -> int:
+    """Return the largest number of groups that a VM holds."""
+    placement = load_result("placement")
     return placement["held_groups"]["most"] if placement else 0
 
 
 def control_fits(runs: list[dict[str, Any]]) -> list[str]:
-    """Return what a held group costs, and the fullest VM."""
-    same = held_runs(runs)
-    if not same:
+    """Return the cost of a held group and that of the VM with most groups."""
+    fitted_runs = held_runs(runs)
+    if not fitted_runs:
         return []
-    most = most_held()
+    max_held = max_held_groups()
     lines = [
-        f"Against held groups, runs of at least {LARGE_FLEET} VMs:",
+        f"Against held groups, runs of at least {LARGE_FLEET_VMS} VMs:",
         "",
         "| | base | each held group | fit | "
-        f"the fullest VM ({most} held) |",
+        f"the fullest VM ({max_held} held) |",
         "|---|---|---|---|---|",
     ]
-    for name, bound, read in CONTROL:
-        line = held_line(same, read)
-        value = line.base + line.slope * most
+    for name, bound, read in CONTROL_COSTS:
+        line = fit_held_groups(fitted_runs, read)
+        value = line.base + line.slope * max_held
         lines.append(
             f"| {name} | {line.base:.2f} | {line.slope:.3f} ± "
             f"{line.slope_error:.3f} | {line.points} points, "
-            f"R² {line.r2:.3f} | {value:.2f}: {verdict(value, bound)} |"
+            f"R² {line.r2:.3f} | {value:.2f}: "
+            f"{compare_with_bound(value, bound)} |"
         )
     return lines
 
 
-# Events.
+# Rare events and shortfalls.
 
 
-def events() -> str:
-    """Return what rare events cost."""
+def events_section() -> str:
+    """Return the section on the cost of rare events."""
     lines = [
         "## Events",
         "",
         "| event | what it takes | mechanism |",
         "|---|---|---|",
     ]
-    left = VMS - VMS // ZONES
-    lost = CONNECTIONS / ZONES
-    data = load("connections")
+    remaining_vms = VMS - VMS // ZONES
+    lost_connections = CONNECTIONS / ZONES
+    data = load_result("connections")
     if data is not None:
         for kind, name in (("plain", "plain"), ("tls", "TLS")):
-            opened = sorted(p["open_us"] for p in data[kind]["points"][1:])
-            each = opened[len(opened) // 2]
+            open_costs_us = sorted(
+                p["open_us"] for p in data[kind]["points"][1:]
+            )
+            open_cost_us = open_costs_us[len(open_costs_us) // 2]
             lines.append(
-                f"| a zone lost, {name} | {lost:,.0f} connections come anew, "
-                f"{lost / left:,.0f} to each of {left} VMs: "
-                f"{lost / left * each / 1e6:.1f} s of a core there; after it "
-                f"each VM has {CONNECTIONS / left:,.0f} connections and "
-                f"{STATEMENTS / left:,.0f} statements/s, "
-                f"{VMS / left:.2f} times as many | "
+                f"| a zone lost, {name} | {lost_connections:,.0f} "
+                "connections come anew, "
+                f"{lost_connections / remaining_vms:,.0f} "
+                f"to each of {remaining_vms} VMs: "
+                f"{lost_connections / remaining_vms * open_cost_us / 1e6:.1f} "
+                "s of a core there; after it each VM has "
+                f"{CONNECTIONS / remaining_vms:,.0f} connections and "
+                f"{STATEMENTS_PER_SECOND / remaining_vms:,.0f} statements/s, "
+                f"{VMS / remaining_vms:.2f} times as many | "
                 "other zones' holders go on; callers are told when to come "
                 "back |"
             )
-    placement = load("placement")
+    placement = load_result("placement")
     if placement is not None:
         moved = placement["moved_by_one_vm"]
         lines += [
-            f"| a VM replaced ({REPLACEMENTS_A_DAY} a day) | "
+            f"| a VM replaced ({VM_REPLACEMENTS_PER_DAY} a day) | "
             f"{moved['mean_share']:.3%} of holder places move (ideal "
             f"{moved['ideal_share']:.3%}), each costs connections of 10 ms | "
             "rendezvous hashing with a bounded load, graceful shutdown |",
@@ -843,44 +872,48 @@
     return "\n".join(lines)
 
 
-def control_gaps() -> list[str]:
-    """Return where control is over its bounds at the full size."""
+def control_shortfalls() -> list[str]:
+    """Return the bounds that control exceeds at the design size."""
     lines = []
-    for run in load("control") or ():
+    for run in load_result("control") or ():
         rate = control_bytes(run)
-        full = run["vms"] == VMS and run["groups"] == GROUPS
-        if full and rate > BYTES_BOUND:
+        at_design_size = run["vms"] == VMS and run["groups"] == GROUPS
+        if at_design_size and rate > MAX_BYTES_PER_SECOND:
             lines.append(
-                f"- **Bytes of control**: {role_of(run)} exchanges "
-                f"{rate / 1000:.1f} KB/s, {rate / BYTES_BOUND:.1f} times "
+                f"- **Bytes of control**: {describe_role(run)} exchanges "
+                f"{rate / 1000:.1f} KB/s, "
+                f"{rate / MAX_BYTES_PER_SECOND:.1f} times "
                 f"what is allowed ({run['held_groups']} groups held). "
                 "Missing: fewer questions of other VMs to the same few."
             )
-    same = held_runs(load("control") or [])
-    most = most_held()
-    for name, bound, read in CONTROL if same else ():
-        line = held_line(same, read)
-        value = line.base + line.slope * most
+    fitted_runs = held_runs(load_result("control") or [])
+    max_held = max_held_groups()
+    for name, bound, read in CONTROL_COSTS if fitted_runs else ():
+        line = fit_held_groups(fitted_runs, read)
+        value = line.base + line.slope * max_held
         if value > bound:
             lines.append(
-                f"- **Control of the fullest VM**: with {most} held groups "
-                f"{value:.1f} {name}, {value / bound:.1f} times what is "
-                "allowed. Missing: fewer polls of targets."
+                f"- **Control of the fullest VM**: with {max_held} held "
+                f"groups {value:.1f} {name}, {value / bound:.1f} times what "
+                "is allowed. Missing: fewer polls of targets."
             )
     return lines
 
 
-def gaps() -> str:
-    """Return where it does not hold, and what is not measured."""
+def gaps_section() -> str:
+    """Return the sections on exceeded bounds and on what is not measured."""
     lines = ["## Where the design does not hold yet", ""]
-    data = load("statement_cost")
-    rate = STATEMENTS / VMS
+    data = load_result("statement_cost")
+    rate = STATEMENTS_PER_SECOND / VMS
     if data is not None:
-        whole = mixed_us(data, "entry")[0] + mixed_us(data, "holders")[0]
-        cores = whole * rate / 1e6
+        cost_us = (
+            mixed_statement_cost_us(data, "entry")[0]
+            + mixed_statement_cost_us(data, "holders")[0]
+        )
+        cores = cost_us * rate / 1e6
         lines.append(
             f"- **Processor time of statements**: entry and holder together "
-            f"take {whole:.0f} us, {cores:.1f} cores for {rate:,.0f} "
+            f"take {cost_us:.0f} us, {cores:.1f} cores for {rate:,.0f} "
             f"statements/s on each VM; one process has one core. Missing: a "
             f"factor of {cores:.1f} on average, without room for peaks. "
             "Entry-only processes beside the main one carry the entry's "
@@ -888,38 +921,39 @@
             "holder's part stays in the main process; dividing a VM's groups "
             "among processes is not built."
         )
-        placement = load("placement")
+        placement = load_result("placement")
         if placement is not None:
             held = placement["held_groups"]
-            share = held["most"] / held["mean"]
-            entry_us = mixed_us(data, "entry")[0]
-            holder_us = mixed_us(data, "holders")[0]
-            most = (entry_us + holder_us * share) * rate / 1e6
+            load_factor = held["most"] / held["mean"]
+            entry_us = mixed_statement_cost_us(data, "entry")[0]
+            holder_us = mixed_statement_cost_us(data, "holders")[0]
+            max_cores = (entry_us + holder_us * load_factor) * rate / 1e6
             lines.append(
                 f"- **Uneven holders**: the VM with most groups "
-                f"({held['most']}) would need {most:.1f} cores, if groups "
-                "are alike. Missing: groups weighed by their load, or up to "
-                "six holders for large groups. Not built."
+                f"({held['most']}) would need {max_cores:.1f} cores, if "
+                "groups are alike. Missing: groups weighed by their load, or "
+                "up to six holders for large groups. Not built."
             )
-    lines += control_gaps()
-    connections = load("connections")
+    lines += control_shortfalls()
+    connections = load_result("connections")
     if connections is not None:
         size = connections["tls"]["bytes_each"]
         lines.append(
             f"- **TLS to callers**: {size / 1000:.1f} KB for each connection, "
-            f"{size * CONNECTIONS / VMS / MEGABYTE:.0f} MB on each VM. It is "
-            "beside control's 64 MB, but has to be counted when VMs are "
+            f"{size * CONNECTIONS / VMS / BYTES_PER_MB:.0f} MB on each VM. "
+            "It is beside control's 64 MB, but has to be counted when VMs are "
             "sized. Ending TLS at the balancer avoids it."
         )
-    binary = load("binary")
+    binary = load_result("binary")
     if binary is not None:
         total = binary["file_bytes"] + binary["unpacked_bytes"]
         lines.append(
-            f"- **Memory of a VM without disks**: {total / MEGABYTE:.0f} MB "
+            f"- **Memory of a VM without disks**: "
+            f"{total / BYTES_PER_MB:.0f} MB "
             "for file and unpacked program, beside the process."
         )
     lines += ["", "## Not measured", ""]
-    lines += [f"- {each}" for each in MISSING]
+    lines += [f"- {each}" for each in MISSING_RESULTS]
     lines += [
         "- anything on real VMs, over real networks, or with more than a "
         "few hundred processes; latencies between zones and regions",
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,7 +1,7 @@
-"""Compare two source trees: processor time for each statement.
+"""Compare the processor time of a statement between two source trees.
 
-Starts a fleet from each tree in turn, several rounds, so that a noisy host
-hits both alike, and prints the medians.
+Starts a fleet from each tree in turn for several rounds, so that noise on the
+host affects both trees alike, and prints the medians.
 
     python bench/compare.py NAME OTHER_TREE THIS_TREE
 """
@@ -18,7 +18,7 @@
 import support
 
 ROUNDS = 4
-CODE = """
+MEASURE_SCRIPT = """
 import json, overhead, support
 fleet = support.start(vms=4, slots=30, connections=60)
 try:
@@ -28,44 +28,44 @@
     fleet.close()
 print(json.dumps({"latency": latency, "cores": cores}))
 """
-KEYS = ("entry_us_per_statement", "holder_us_per_statement")
+COST_KEYS = ("entry_us_per_statement", "holder_us_per_statement")
 
 
 def measure(tree: str) -> dict[str, Any]:
     env = {**os.environ, "PYTHONPATH": f"{tree}:{tree}/bench"}
-    done = subprocess.run(
-        [sys.executable, "-c", CODE],
+    completed = subprocess.run(
+        [sys.executable, "-c", MEASURE_SCRIPT],
         env=env,
         cwd=tree,
         stdout=subprocess.PIPE,
         text=True,
         check=True,
     )
-    return json.loads(done.stdout.splitlines()[-1])
+    return json.loads(completed.stdout.splitlines()[-1])
 
 
-def medians(found: list[dict[str, Any]]) -> dict[str, Any]:
+def medians(samples: list[dict[str, Any]]) -> dict[str, Any]:
     result: dict[str, Any] = {
-        key: statistics.median(each["cores"][key] for each in found)
-        for key in KEYS
+        key: statistics.median(each["cores"][key] for each in samples)
+        for key in COST_KEYS
     }
-    for way in ("direct", "holder", "entry_and_holder"):
-        result[f"{way}_p50_us"] = statistics.median(
-            each["latency"][way]["p50_us"] for each in found
+    for path in ("direct", "holder", "entry_and_holder"):
+        result[f"{path}_p50_us"] = statistics.median(
+            each["latency"][path]["p50_us"] for each in samples
         )
     result["load_p50_ms"] = statistics.median(
-        each["cores"]["latency_ms"]["done"]["p50"] for each in found
+        each["cores"]["latency_ms"]["done"]["p50"] for each in samples
     )
     return result
 
 
 def main() -> None:
     name, *trees = sys.argv[1:]
-    found: list[list[dict[str, Any]]] = [[] for _ in trees]
+    samples: list[list[dict[str, Any]]] = [[] for _ in trees]
     for _ in range(ROUNDS):
-        for place, tree in enumerate(trees):
-            found[place].append(measure(tree))
-    before, after = (medians(each) for each in found)
+        for index, tree in enumerate(trees):
+            samples[index].append(measure(tree))
+    before, after = (medians(each) for each in samples)
     result = {"rounds": ROUNDS, "before": before, "after": after}
     support.write(name, result)
     print(json.dumps(result, indent=1))
--- a/bench/connections.py
+++ b/bench/connections.py
@@ -1,10 +1,10 @@
-"""Memory and processor time of callers' connections, plain and under TLS.
+"""Measure memory and processor time of caller connections, plain and TLS.
 
     python bench/connections.py --out bench/results/connections.json
 
-One serving process; connections are opened in steps, each with one request,
-and then stay idle. The slope of resident memory over connections is the cost
-of one. TLS keys are those of the tests.
+Connections to one serving process are opened in steps. Each sends one request
+and then stays idle. The slope of resident memory over the number of
+connections is the cost of one connection. The TLS keys are those of the tests.
 """
 
 from __future__ import annotations
@@ -24,10 +24,12 @@
 
 from fits import fit
 
-STEPS = (0, 250, 500, 1000, 1500, 2000)
+CONNECTION_STEPS = (0, 250, 500, 1000, 1500, 2000)
 SETTLE_SECONDS = 1.0
-TICKS = os.sysconf("SC_CLK_TCK")
-KEYS = Path(__file__).resolve().parents[1] / "features" / "data" / "tls"
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+TLS_DIRECTORY = (
+    Path(__file__).resolve().parents[1] / "features" / "data" / "tls"
+)
 REQUEST = (
     b"POST /v1/sessions HTTP/1.1\r\nHost: x\r\n"
     b'Content-Length: 14\r\n\r\n{"caller":"a"}'
@@ -35,7 +37,7 @@
 
 
 def main() -> None:
-    """Measure and write the result as JSON."""
+    """Measure both kinds of connection and write the result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
@@ -47,9 +49,9 @@
 
 
 def _measure(*, tls: bool) -> dict[str, Any]:
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as directory:
         port = _free_port()
-        path = Path(folder) / "vm.json"
+        path = Path(directory) / "vm.json"
         path.write_text(json.dumps(_settings(port, tls)))
         process = subprocess.Popen(
             [sys.executable, "-m", "bamboospring", "serve"]
@@ -57,28 +59,30 @@
             stderr=subprocess.DEVNULL,
         )
         try:
-            return _fill(process.pid, port, tls)
+            return _measure_steps(process.pid, port, tls)
         finally:
             process.send_signal(signal.SIGKILL)
             process.wait()
 
 
-def _fill(pid: int, port: int, tls: bool) -> dict[str, Any]:
-    context = ssl.create_default_context(cafile=str(KEYS / "authority.pem"))
+def _measure_steps(pid: int, port: int, tls: bool) -> dict[str, Any]:
+    context = ssl.create_default_context(
+        cafile=str(TLS_DIRECTORY / "authority.pem")
+    )
     conns: list[socket.socket] = []
     points = []
-    _open(conns, port, context if tls else None)
-    for step in STEPS:
-        before = _processor(pid)
+    _open_connection(conns, port, context if tls else None)
+    for step in CONNECTION_STEPS:
+        before = _processor_seconds(pid)
         opened = step - len(conns) + 1
         while len(conns) < step + 1:
-            _open(conns, port, context if tls else None)
-        used = _processor(pid) - before
+            _open_connection(conns, port, context if tls else None)
+        used = _processor_seconds(pid) - before
         time.sleep(SETTLE_SECONDS)
         points.append(
             {
                 "connections": len(conns),
-                "resident_kb": _resident(pid),
+                "resident_kb": _resident_kb(pid),
                 "open_us": round(used / opened * 1e6) if opened > 1 else 0,
             }
         )
@@ -96,7 +100,7 @@
     }
 
 
-def _open(
+def _open_connection(
     conns: list[socket.socket], port: int, context: ssl.SSLContext | None
 ) -> None:
     deadline = time.monotonic() + 20
@@ -120,8 +124,8 @@
     callers: dict[str, Any] = {"listen": f"127.0.0.1:{port}"}
     if tls:
         callers["tls"] = {
-            "certificate": str(KEYS / "vm.pem"),
-            "private_key": str(KEYS / "vm.key"),
+            "certificate": str(TLS_DIRECTORY / "vm.pem"),
+            "private_key": str(TLS_DIRECTORY / "vm.key"),
         }
     return {
         "vm": "vm-1",
@@ -140,15 +144,15 @@
         return int(sock.getsockname()[1])
 
 
-def _resident(pid: int) -> int:
+def _resident_kb(pid: int) -> int:
     text = Path(f"/proc/{pid}/status").read_text()
     line = next(x for x in text.splitlines() if x.startswith("VmRSS"))
     return int(line.split()[1])
 
 
-def _processor(pid: int) -> float:
+def _processor_seconds(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 if __name__ == "__main__":
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,13 +1,13 @@
-"""Measure what control costs one `serve` process, without any statement.
+"""Measure the cost of control traffic in one `serve` process.
 
     python -m bench.control --seconds 60 --case 530,480 --case 530,480,watcher
 
-One real process is measured. The platform is the stand-in behind a relay that
-counts bytes; all other VMs and all targets are fakes in this process, which
-answer as real ones would: heartbeats of the VMs that have the measured one
-as a neighbour, questions for group records if it is one of the six watchers,
-long polls of the targets that it holds, and two edits a minute (2,100 a day
-are 1.5 a minute).
+No statements are sent. One real process is measured. The platform is the
+stand-in behind a relay that counts bytes. All other VMs and all targets are
+fakes in this process, which reply as real ones do: heartbeats from the VMs
+that have the measured VM as a neighbour, questions for group records if it is
+one of the six watchers, long polls of the targets that it holds, and two edits
+per minute (2,100 per day are 1.5 per minute).
 """
 
 from __future__ import annotations
@@ -59,22 +59,23 @@
 ZONES = 4
 REGIONS = 2
 HEAD_END = b"\r\n\r\n"
-HEARTBEAT_SECONDS = 2.0
-# Holders ask each other about shares until 10 s after their first list.
+HEARTBEAT_INTERVAL_SECONDS = 2.0
+# Holders ask each other for shares until 10 s after they receive their first
+# list of VMs, which would count as control traffic.
 SETTLE_SECONDS = 16.0
-EDIT_SECONDS = 30.0
-ASKED_AFTER = 0.5
-LENGTH = struct.Struct("<I")
-TOKEN = "operator-secret-for-the-bench"
+EDIT_INTERVAL_SECONDS = 30.0
+TABLE_REQUEST_DELAY_SECONDS = 0.5
+LENGTH_PREFIX = struct.Struct("<I")
+OPERATOR_TOKEN = "operator-secret-for-the-bench"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Case:
-    """Sizes of one run, and which VM it measures.
+    """Sizes of one run and the choice of the measured VM.
 
-    `watcher` takes one of the six watchers, `steward` one that leads a
-    bucket. `wanted_groups` is what the VM should hold, as nearly as there is
-    one; 0 takes the average.
+    `watcher` selects one of the six watchers, `steward` a VM that leads a
+    bucket. `wanted_groups` is the number of groups that the VM should hold:
+    the VM with the nearest number is measured; 0 means the average.
     """
 
     groups: int
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Result:
-    """What one run gave. Rates are per second of the measured time."""
+    """Result of one run. Rates are per second of the measured time."""
 
     groups: int
     vms: int
@@ -109,45 +110,45 @@
     platform_calls: dict[str, float]
 
 
-class Meter:
-    """Bytes and messages by what they were for."""
+class TrafficMeter:
+    """Counts of bytes and messages by purpose."""
 
     def __init__(self) -> None:
         self.bytes: Counter[str] = Counter()
-        self.heads: Counter[str] = Counter()
+        self.header_bytes: Counter[str] = Counter()
         self.messages: Counter[str] = Counter()
-        self.polls = 0
+        self.target_polls = 0
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Reset all counts."""
         self.bytes.clear()
-        self.heads.clear()
+        self.header_bytes.clear()
         self.messages.clear()
-        self.polls = 0
+        self.target_polls = 0
 
 
 class Relay:
     """Forward connections and count their bytes by purpose and path.
 
-    A connection to the platform serves one purpose, so that what its first
-    request says holds for all of it.
+    A connection to the platform serves one purpose, so the purpose of its
+    first request applies to the whole connection.
     """
 
-    def __init__(self, upstream: str, meter: Meter, name: str) -> None:
+    def __init__(self, upstream: str, meter: TrafficMeter, name: str) -> None:
         self._host, _, port = upstream.rpartition(":")
         self._port = int(port)
         self._meter = meter
         self._name = name
 
-    async def accepted(
+    async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve one connection."""
-        there = await asyncio.open_connection(self._host, self._port)
+        """Forward one connection in both directions."""
+        upstream = await asyncio.open_connection(self._host, self._port)
         name = [self._name]
         await asyncio.gather(
-            self._pump(reader, there[1], name),
-            self._pump(there[0], writer, name),
+            self._pump(reader, upstream[1], name),
+            self._pump(upstream[0], writer, name),
         )
 
     async def _pump(
@@ -159,11 +160,11 @@
         try:
             while data := await reader.read(65536):
                 if data.startswith((b"GET", b"PUT")) and name == ["platform"]:
-                    name[0] = name_of_call(data)
+                    name[0] = describe_platform_call(data)
                 self._meter.bytes[name[0]] += len(data)
                 if data.startswith((b"GET ", b"HTTP/")):
                     end = data.find(HEAD_END) + len(HEAD_END)
-                    self._meter.heads[name[0]] += end
+                    self._meter.header_bytes[name[0]] += end
                     self._meter.messages[name[0]] += 1
                 writer.write(data)
                 await writer.drain()
@@ -172,8 +173,8 @@
         writer.close()
 
 
-def name_of_call(head: bytes) -> str:
-    """Return "platform", purpose and kind of a request."""
+def describe_platform_call(head: bytes) -> str:
+    """Return "platform", the purpose and the kind of a request."""
     path = head.split(b" ", 2)[1].split(b"?")[0].decode()
     lines = head.split(HEAD_END)[0].decode().split("\r\n")
     purposes = [
@@ -186,15 +187,15 @@
 
 
 class FakeTargets:
-    """All targets of a role: they answer probes and change nothing."""
+    """All targets of one role, which answer probes and never change state."""
 
-    def __init__(self, meter: Meter, role: str) -> None:
+    def __init__(self, meter: TrafficMeter, role: str) -> None:
         self.primary = ""
         self._meter = meter
         self._role = role
 
     async def handle(self, conn: Connection, request: Request) -> Reply:
-        """Answer one request."""
+        """Return the reply to one request."""
         name = request.headers.get("host", "")
         body = {
             "target": name,
@@ -208,7 +209,7 @@
             "leaving": False,
             "state": "0123456789abcdef",
         }
-        self._meter.polls += 1
+        self._meter.target_polls += 1
         if request.path[0] == "positions":
             await asyncio.sleep(int(request.query["wait_ms"]) / 1000)
         if "seen" in request.query:
@@ -217,15 +218,19 @@
 
 
 class FakeFleet:
-    """All other VMs, each at a loopback address of its own."""
+    """All VMs but the measured one, each at its own loopback address."""
 
     def __init__(
-        self, case: Case, vms: list[Vm], me: Vm, records: dict[str, Any]
+        self,
+        case: Case,
+        vms: list[Vm],
+        measured_vm: Vm,
+        records: dict[str, Any],
     ) -> None:
-        self.meter = Meter()
+        self.meter = TrafficMeter()
         self._case = case
         self._vms = vms
-        self._me = me
+        self._measured_vm = measured_vm
         self._records = records
         self._placement = Placement(vms, records)
         self._versions: tuple[int, list[int]] = (1, [0] * SHARD_COUNT)
@@ -235,54 +240,58 @@
         self._random = random.Random(1)
 
     async def listen(self, vm: Vm, sock: socket.socket) -> None:
-        """Be one VM at its address, that of the socket."""
-        accepted = partial(self.accepted, vm.name)
-        server = await asyncio.start_server(accepted, sock=sock)
+        """Listen as one VM on a socket that is bound to its address."""
+        handler = partial(self.handle_connection, vm.name)
+        server = await asyncio.start_server(handler, sock=sock)
         self._servers.append(server)
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         for server in self._servers:
             server.close()
 
-    async def accepted(
+    async def handle_connection(
         self,
         name: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Answer what the measured process asks one VM."""
+        """Handle a connection from the measured process to one VM."""
         hello = schema.Envelope.new_message()
         hello.init("hello").protocol = PROTOCOL
         self._write(writer, hello)
         try:
             while True:
                 message = await self._read(reader)
-                self._answer(name, message, writer)
+                self._handle_message(name, message, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def call(self, address: str) -> None:
-        """Be the VMs that have the measured one as a neighbour or watcher."""
+    async def connect(self, address: str) -> None:
+        """Act as the VMs whose neighbour or watcher the measured VM is."""
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         callers = [
             vm.name
             for vm in self._vms
-            if self._me in choose_neighbours(vm.name, self._vms)
+            if self._measured_vm in choose_neighbours(vm.name, self._vms)
         ]
         self._writer = writer
-        jobs = [self._drain(reader)]
-        jobs += [self._beat(writer, name) for name in callers]
+        jobs = [self._discard_messages(reader)]
+        jobs += [self._send_heartbeats(writer, name) for name in callers]
         if self._case.watcher:
             askers = self._vms[:: len(choose_platform_watchers(self._vms))]
-            jobs += [self._ask(writer, vm.name) for vm in askers]
+            jobs += [
+                self._send_group_questions(writer, vm.name) for vm in askers
+            ]
         await asyncio.gather(*jobs)
 
-    async def spread(self, shard: int, version: int, value: Any) -> None:
-        """Announce an edit as a neighbour does; then ask for it as another.
+    async def announce_edit(
+        self, shard: int, version: int, value: Any
+    ) -> None:
+        """Announce an edit as one neighbour, then request it as another.
 
-        Each VM receives an edited shard about once and gives it about once.
+        A VM receives an edited shard about once and sends it about once.
         """
         revision, shards = self._versions
         shards = [*shards]
@@ -291,29 +300,38 @@
         self._rows[shard] = version, json.dumps(value).encode()
         if self._writer is None:
             return
-        news = schema.Envelope.new_message()
-        self._fill(news.init("heartbeat"), self._vms[0].name, whole=True)
-        self._write(self._writer, news)
-        await asyncio.sleep(ASKED_AFTER)
+        announcement = schema.Envelope.new_message()
+        self._fill_heartbeat(
+            announcement.init("heartbeat"), self._vms[0].name, whole=True
+        )
+        self._write(self._writer, announcement)
+        await asyncio.sleep(TABLE_REQUEST_DELAY_SECONDS)
         question = schema.Envelope.new_message()
         question.id = 3
         question.init("tableWant").shard = shard
         question.tableWant.version = version - 1
         self._write(self._writer, question)
 
-    async def _beat(self, writer: asyncio.StreamWriter, name: str) -> None:
-        # As the real ones, at times of their own: all at once they would
-        # leave a silence in which the measured one asks whether it is alone.
-        await asyncio.sleep(self._random.uniform(0, HEARTBEAT_SECONDS))
+    async def _send_heartbeats(
+        self, writer: asyncio.StreamWriter, name: str
+    ) -> None:
+        # Heartbeats start at random offsets, as those of real VMs do. If all
+        # were sent at once, the measured VM would receive none in between and
+        # would check whether it is isolated.
+        await asyncio.sleep(
+            self._random.uniform(0, HEARTBEAT_INTERVAL_SECONDS)
+        )
         while True:
             message = schema.Envelope.new_message()
             message.id = 1
-            self._fill(message.init("heartbeat"), name, whole=False)
+            self._fill_heartbeat(message.init("heartbeat"), name, whole=False)
             self._write(writer, message)
             part = self._random.uniform(0.75, 1.25)
-            await asyncio.sleep(part * HEARTBEAT_SECONDS)
+            await asyncio.sleep(part * HEARTBEAT_INTERVAL_SECONDS)
 
-    async def _ask(self, writer: asyncio.StreamWriter, name: str) -> None:
+    async def _send_group_questions(
+        self, writer: asyncio.StreamWriter, name: str
+    ) -> None:
         needed = {
             group: 1
             for group in self._records
@@ -330,27 +348,29 @@
             message.id = 2
             message.init("groupFact").record = json.dumps(body).encode()
             self._write(writer, message)
-            await asyncio.sleep(ask_interval(self._case.vms))
+            await asyncio.sleep(question_interval(self._case.vms))
 
-    async def _drain(self, reader: asyncio.StreamReader) -> None:
+    async def _discard_messages(self, reader: asyncio.StreamReader) -> None:
         while True:
             await self._read(reader)
 
     async def _read(self, reader: asyncio.StreamReader) -> Any:
-        (size,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
+        (size,) = LENGTH_PREFIX.unpack(
+            await reader.readexactly(LENGTH_PREFIX.size)
+        )
         data = await reader.readexactly(size)
         with schema.Envelope.from_bytes(data) as message:
-            self.meter.bytes[message.which()] += LENGTH.size + size
+            self.meter.bytes[message.which()] += LENGTH_PREFIX.size + size
             self.meter.messages[message.which()] += 1
             return message.as_builder()
 
     def _write(self, writer: asyncio.StreamWriter, message: Any) -> None:
         data = message.to_bytes()
-        self.meter.bytes[message.which()] += LENGTH.size + len(data)
+        self.meter.bytes[message.which()] += LENGTH_PREFIX.size + len(data)
         self.meter.messages[message.which()] += 1
-        writer.write(LENGTH.pack(len(data)) + data)
+        writer.write(LENGTH_PREFIX.pack(len(data)) + data)
 
-    def _answer(
+    def _handle_message(
         self, name: str, message: Any, writer: asyncio.StreamWriter
     ) -> None:
         answer = schema.Envelope.new_message()
@@ -361,11 +381,13 @@
                 if beat.shards and not beat.draining:
                     self._versions = (beat.vmsRevision, list(beat.shards))
                 out = answer.init("heartbeatAck")
-                self._fill(out, name, whole=beat.digest != self._digest())
+                self._fill_heartbeat(
+                    out, name, whole=beat.digest != self._current_digest()
+                )
             case "groupFact" if message.id == 0:
                 return
             case "groupFact":
-                record = self._group_answer(message.groupFact.record)
+                record = self._answer_group_question(message.groupFact.record)
                 answer.init("groupFact").record = record
             case "tableWant":
                 shard = message.tableWant.shard
@@ -373,7 +395,8 @@
                 delta.shard = shard
                 delta.version, delta.rows = self._rows.get(shard, (0, b""))
             case "shareRequest":
-                # A VM that holds nothing, and will ask before it does.
+                # Reply as a VM that holds no share and that asks before it
+                # takes one.
                 out = answer.init("shareRelease")
                 out.group = message.shareRequest.group
                 out.vm = name
@@ -385,7 +408,7 @@
         if message.id:
             self._write(writer, answer)
 
-    def _group_answer(self, record: bytes) -> bytes:
+    def _answer_group_question(self, record: bytes) -> bytes:
         question = json.loads(record)
         if "digest" in question:
             same: dict[str, Any] = {"complete": True, "same": True}
@@ -395,31 +418,32 @@
             {"name": name, "version": 1, "value": value}
             for name, value in self._records.items()
             if name not in have
-            and self._me.name in vms_needing_group(self._placement, name)
+            and self._measured_vm.name
+            in vms_needing_group(self._placement, name)
         ]
         body: dict[str, Any] = {"complete": True, "facts": facts, "want": []}
         if question.get("names") != digest_names(self._records):
             body["names"] = list(self._records)
         return json.dumps(body).encode()
 
-    def _fill(self, out: Any, name: str, *, whole: bool) -> None:
+    def _fill_heartbeat(self, out: Any, name: str, *, whole: bool) -> None:
         out.vm = name
         out.vmsRevision, shards = self._versions
-        out.digest = self._digest()
+        out.digest = self._current_digest()
         if whole:
             out.shards = shards
 
-    def _digest(self) -> int:
+    def _current_digest(self) -> int:
         revision, shards = self._versions
         return versions_digest(
             FactVersions(vms_revision=revision, shards=tuple(shards))
         )
 
 
-async def call_json(
+async def call_platform(
     address: str, method: str, path: str, body: Any = None
 ) -> Any:
-    """Make one call to the platform stand-in."""
+    """Make one call to the platform stand-in and return the decoded body."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     text = json.dumps(body or {}).encode()
@@ -438,7 +462,7 @@
 
 
 def make_record(addresses: list[str], number: int) -> dict[str, Any]:
-    """Return a group of three targets."""
+    """Return the record of a group with three targets."""
     return {
         "targets": [
             {
@@ -458,7 +482,7 @@
 
 
 def make_row(group: str, staleness: int) -> dict[str, Any]:
-    """Return a row with all columns set."""
+    """Return a table row with all columns set."""
     return {
         "group": group,
         "read_weights": {"old": 60, "new": 40},
@@ -471,7 +495,7 @@
 
 
 class Run:
-    """One measured run."""
+    """One measured run of a case."""
 
     def __init__(self, case: Case, seconds: float) -> None:
         self._case = case
@@ -480,9 +504,10 @@
         self._staleness = 0
 
     async def run(self) -> Result:
-        """Bring all up, let it settle, measure, end it."""
+        """Start all processes, let them settle, measure and stop them."""
         directory = pathlib.Path(tempfile.mkdtemp(prefix="bs-control-"))
-        # Filling it takes more writes in a second than the platform allows.
+        # Populating the stand-in needs more writes per second than it allows
+        # by default.
         platform = await start_listening(
             "bamboospring.testing.platform",
             "--listen",
@@ -497,7 +522,7 @@
             shutil.rmtree(directory, ignore_errors=True)
 
     async def _measure(self, platform: str, directory: pathlib.Path) -> Result:
-        meter = Meter()
+        meter = TrafficMeter()
         targets = [FakeTargets(meter, role) for role in ("primary", "replica")]
         servers = [
             await serve_http("127.0.0.1:0", each.handle) for each in targets
@@ -508,23 +533,29 @@
         ]
         servers += relays
         addresses = [listening_address(server) for server in relays]
-        # A steward orders replicas that name no primary to follow.
+        # A steward orders replicas that report no primary to follow one.
         targets[1].primary = addresses[0]
         records = {
             name: make_record(addresses, number)
             for number, name in enumerate(self._names)
         }
         relay = await start_relay(platform, meter, "platform")
-        vms, me, fleet = await self._make_fleet(records)
-        await self._fill_platform(platform, vms, records)
-        child = start_serve(directory, me, listening_address(relay))
+        vms, measured_vm, fleet = await self._make_fleet(records)
+        await self._populate_platform(platform, vms, records)
+        child = start_serve(directory, measured_vm, listening_address(relay))
         tasks: list[asyncio.Task[None]] = []
         try:
             await asyncio.sleep(SETTLE_SECONDS / 2)
-            tasks.append(asyncio.create_task(fleet.call(me.address)))
-            tasks.append(asyncio.create_task(self._edit(platform, fleet)))
+            tasks.append(
+                asyncio.create_task(fleet.connect(measured_vm.address))
+            )
+            tasks.append(
+                asyncio.create_task(self._make_edits(platform, fleet))
+            )
             await asyncio.sleep(SETTLE_SECONDS / 2)
-            return await self._sample(child.pid, platform, meter, fleet, me)
+            return await self._sample(
+                child.pid, platform, meter, fleet, measured_vm
+            )
         finally:
             for task in tasks:
                 task.cancel()
@@ -539,30 +570,33 @@
         self, records: dict[str, Any]
     ) -> tuple[list[Vm], Vm, FakeFleet]:
         own = free_address()
-        # Kept until they listen: runs at the same time choose ports as well.
-        places = [bound_socket(loopback(n)) for n in range(self._case.vms)]
+        # The sockets stay bound until they listen, because concurrent runs
+        # choose ports as well and could take them.
+        sockets = [
+            bind_socket(loopback_host(n)) for n in range(self._case.vms)
+        ]
         vms = [
             Vm(
                 name=f"vm-{number}",
-                address="%s:%d" % places[number].getsockname(),
+                address="%s:%d" % sockets[number].getsockname(),
                 availability_zone=f"zone-{number % ZONES}",
                 region=f"region-{number // ZONES % REGIONS}",
             )
             for number in range(self._case.vms)
         ]
-        place = self._choose_measured(vms)
-        me = replace(vms[place], address=own)
-        vms[place] = me
-        fleet = FakeFleet(self._case, vms, me, records)
-        for vm, sock in zip(vms, places, strict=True):
-            if vm != me:
+        measured_index = self._choose_measured_index(vms)
+        measured_vm = replace(vms[measured_index], address=own)
+        vms[measured_index] = measured_vm
+        fleet = FakeFleet(self._case, vms, measured_vm, records)
+        for vm, sock in zip(vms, sockets, strict=True):
+            if vm != measured_vm:
                 await fleet.listen(vm, sock)
             else:
                 sock.close()
-        return vms, me, fleet
+        return vms, measured_vm, fleet
 
-    def _choose_measured(self, vms: list[Vm]) -> int:
-        """Return a VM of the wanted role that holds a typical share."""
+    def _choose_measured_index(self, vms: list[Vm]) -> int:
+        """Return the index of a VM with the wanted role and group count."""
         watchers = set(choose_platform_watchers(vms))
         placement = Placement(vms, self._names)
         held: Counter[str] = Counter()
@@ -570,7 +604,7 @@
             held.update(vm.name for vm in placement.holders(name))
         typical = 3 * len(self._names) / len(vms)
         wanted = self._case.wanted_groups or typical
-        stewards = {
+        candidates = {
             vm.name
             for bucket in range(BUCKET_COUNT)
             for vm in placement.candidates(bucket)
@@ -579,11 +613,11 @@
             (abs(held[vm.name] - wanted), place)
             for place, vm in enumerate(vms)
             if (vm in watchers) == self._case.watcher
-            and (vm.name in stewards) >= self._case.steward
+            and (vm.name in candidates) >= self._case.steward
         ] or [(0.0, 0)]
         return min(fitting)[1]
 
-    async def _fill_platform(
+    async def _populate_platform(
         self, platform: str, vms: list[Vm], records: dict[str, Any]
     ) -> None:
         listed = [
@@ -596,10 +630,12 @@
             }
             for vm in vms
         ]
-        await call_json(platform, "PUT", "/vms", {"vms": listed})
+        await call_platform(platform, "PUT", "/vms", {"vms": listed})
         for name, value in records.items():
             body = {"if_version": 0, "value": value}
-            await call_json(platform, "PUT", f"/objects/group/{name}", body)
+            await call_platform(
+                platform, "PUT", f"/objects/group/{name}", body
+            )
         for shard in range(SHARD_COUNT):
             await self._put_shard(platform, shard, 0)
 
@@ -614,97 +650,105 @@
         }
         value = {"rows": rows}
         body = {"if_version": if_version, "value": value}
-        await call_json(platform, "PUT", f"/objects/table/{shard}", body)
+        await call_platform(platform, "PUT", f"/objects/table/{shard}", body)
         return value
 
-    async def _edit(self, platform: str, fleet: FakeFleet) -> None:
+    async def _make_edits(self, platform: str, fleet: FakeFleet) -> None:
         version = 1
         shard = shard_of("group-0")
         while True:
             value = await self._put_shard(platform, shard, version)
             version += 1
-            await fleet.spread(shard, version, value)
-            await asyncio.sleep(EDIT_SECONDS)
+            await fleet.announce_edit(shard, version, value)
+            await asyncio.sleep(EDIT_INTERVAL_SECONDS)
 
     async def _sample(
         self,
         pid: int,
         platform: str,
-        meter: Meter,
+        meter: TrafficMeter,
         fleet: FakeFleet,
-        me: Vm,
+        measured_vm: Vm,
     ) -> Result:
         process = psutil.Process(pid)
-        counters = await call_json(platform, "GET", "/counters")
+        counters_before = await call_platform(platform, "GET", "/counters")
         cpu = sum(process.cpu_times()[:2])
         meter.clear()
         fleet.meter.clear()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         await asyncio.sleep(self._seconds)
-        took = time.monotonic() - begun
+        elapsed = time.monotonic() - started_at
         cpu = sum(process.cpu_times()[:2]) - cpu
         memory = process.memory_full_info()
-        after = await call_json(platform, "GET", "/counters")
+        counters_after = await call_platform(platform, "GET", "/counters")
         calls = {
-            name: count / took
+            name: count / elapsed
             for name, count in meter.bytes.items()
             if name != "target"
         }
         placement = Placement(fleet._vms, self._names)
-        held = sum(me in placement.holders(name) for name in self._names)
+        held = sum(
+            measured_vm in placement.holders(name) for name in self._names
+        )
         return Result(
             **asdict(self._case),
             held_groups=held,
-            seconds=took,
-            cpu_percent=100 * cpu / took,
+            seconds=elapsed,
+            cpu_percent=100 * cpu / elapsed,
             resident_mb=memory.rss / 2**20,
             unique_mb=memory.uss / 2**20,
-            peer_bytes=fleet.meter.bytes.total() / took,
+            peer_bytes=fleet.meter.bytes.total() / elapsed,
             peer_bytes_by_kind={
-                kind: count / took for kind, count in fleet.meter.bytes.items()
+                kind: count / elapsed
+                for kind, count in fleet.meter.bytes.items()
             },
             peer_messages_by_kind={
-                kind: count / took
+                kind: count / elapsed
                 for kind, count in fleet.meter.messages.items()
             },
             platform_bytes=sum(calls.values()),
             platform_bytes_by_call=calls,
-            target_bytes=meter.bytes["target"] / took,
-            target_head_bytes=meter.heads["target"] / took,
-            target_polls=meter.polls / took,
-            platform_calls=call_rates(counters, after, took),
+            target_bytes=meter.bytes["target"] / elapsed,
+            target_head_bytes=meter.header_bytes["target"] / elapsed,
+            target_polls=meter.target_polls / elapsed,
+            platform_calls=call_rates(
+                counters_before, counters_after, elapsed
+            ),
         )
 
 
-def ask_interval(vms: int) -> float:
-    """Return how often a VM asks a watcher, as the process does it."""
+def question_interval(vms: int) -> float:
+    """Return the interval in s of a VM's questions, as `serve` computes it."""
     return max(REPAIR_INTERVAL, vms / QUESTIONS_PER_SECOND)
 
 
 def call_rates(
     before: dict[str, Any], after: dict[str, Any], seconds: float
 ) -> dict[str, float]:
-    """Return calls per second by purpose; the bench's own have none."""
-    rates: Counter[str] = Counter()
+    """Return calls per second by purpose, without those of the benchmark.
+
+    The calls of the benchmark have no purpose.
+    """
+    calls: Counter[str] = Counter()
     for kind in ("reads", "writes"):
         for purpose, number in after[kind].items():
-            rates[purpose] += number - before[kind].get(purpose, 0)
-    del rates["none"]
-    return {purpose: count / seconds for purpose, count in rates.items()}
+            calls[purpose] += number - before[kind].get(purpose, 0)
+    del calls["none"]
+    return {purpose: count / seconds for purpose, count in calls.items()}
 
 
 async def start_relay(
-    upstream: str, meter: Meter, name: str
+    upstream: str, meter: TrafficMeter, name: str
 ) -> asyncio.Server:
-    """Start a relay on a port of its own."""
+    """Start a relay on a free port."""
     relay = Relay(upstream, meter, name)
-    return await asyncio.start_server(relay.accepted, "127.0.0.1", 0)
+    return await asyncio.start_server(relay.handle_connection, "127.0.0.1", 0)
 
 
 async def start_listening(
     module: str, *args: str
 ) -> tuple[subprocess.Popen[str], str]:
-    """Start a stand-in and return it with its address."""
+    """Start a stand-in and return its process and address."""
     child = subprocess.Popen(
         [sys.executable, "-m", module, *args],
         stdout=subprocess.PIPE,
@@ -715,39 +759,39 @@
     return child, line.split()[1]
 
 
-def loopback(number: int) -> str:
-    """Return a loopback address for each fake VM."""
+def loopback_host(number: int) -> str:
+    """Return the loopback address of a fake VM."""
     return f"127.1.{number // 250}.{number % 250 + 1}"
 
 
-def bound_socket(host: str) -> socket.socket:
-    """Return a socket with a port of its own."""
+def bind_socket(host: str) -> socket.socket:
+    """Return a socket bound to a free port."""
     sock = socket.socket()
     sock.bind((host, 0))
     return sock
 
 
 def free_address() -> str:
-    """Return an address for the measured process."""
-    with bound_socket("127.0.0.1") as sock:
+    """Return a free loopback address for the measured process."""
+    with bind_socket("127.0.0.1") as sock:
         return "%s:%d" % sock.getsockname()
 
 
 def start_serve(
-    directory: pathlib.Path, me: Vm, platform: str
+    directory: pathlib.Path, measured_vm: Vm, platform: str
 ) -> subprocess.Popen[bytes]:
     """Start the measured process."""
     settings = {
-        "vm": me.name,
-        "availability_zone": me.availability_zone,
-        "region": me.region,
+        "vm": measured_vm.name,
+        "availability_zone": measured_vm.availability_zone,
+        "region": measured_vm.region,
         "callers": {"listen": free_address()},
-        "peers": {"listen": me.address},
-        "operators": {"listen": free_address(), "token": TOKEN},
+        "peers": {"listen": measured_vm.address},
+        "operators": {"listen": free_address(), "token": OPERATOR_TOKEN},
         "platform": {"address": platform},
         "token_keys": [{"id": "k1", "secret": "secret-of-the-bench-0001"}],
     }
-    path = directory / f"{me.name}.json"
+    path = directory / f"{measured_vm.name}.json"
     path.write_text(json.dumps(settings))
     argv = [sys.executable, "-m", "bamboospring", "serve", "--settings"]
     log = open(directory / "serve.log", "wb")
@@ -764,19 +808,20 @@
     parser.add_argument(
         "--case",
         action="append",
-        help="GROUPS,VMS, then any of watcher, steward and the number of "
-        "groups that the VM should hold; may be given repeatedly",
+        help="GROUPS,VMS, optionally followed by watcher, steward and the "
+        "number of groups that the VM should hold; can be repeated",
     )
     options = parser.parse_args()
     asyncio.run(run_cases(options))
 
 
 async def run_cases(options: argparse.Namespace) -> None:
-    """Run the cases at the same time, each with its own processes."""
+    """Run the cases concurrently, each with its own processes."""
     cases = [parse_case(text) for text in options.case]
     runs = [Run(case, options.seconds) for case in cases]
     results = await asyncio.gather(*[run.run() for run in runs])
-    # What the relays still have open ends with the loop, and says so.
+    # Connections that are open in the relays end with the event loop, which
+    # would log an error for each.
     asyncio.get_running_loop().set_exception_handler(lambda *_: None)
     text = json.dumps([asdict(result) for result in results], indent=1)
     print(text)
@@ -785,7 +830,7 @@
 
 
 def parse_case(text: str) -> Case:
-    """Return the case that an option names."""
+    """Return the case that a `--case` option describes."""
     groups, vms, *rest = text.split(",")
     return Case(
         groups=int(groups),
--- a/bench/edit_spread.py
+++ b/bench/edit_spread.py
@@ -1,11 +1,11 @@
-"""Measure the time from accepting an edit to its being in force on all VMs.
+"""Measure the time until an edit is in force on all VMs.
 
     python -m bench.edit_spread --edits 60 --out bench/results/edit_spread.json
 
-Real processes: the platform stand-in, a group of three targets and nine VMs,
-without load and under the load of some callers. An edit goes through a VM of
-its own turn; the time runs from the operator's call to the line
-`table_in_force` in each VM's log, whose clock is this machine's.
+Runs real processes: the platform stand-in, a group of three targets and nine
+VMs, first without load and then with the load of several callers. Edits are
+submitted to the VMs in turn. The time runs from the operator's call to the
+line `table_in_force` in each VM's log; all logs use this machine's clock.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from bamboospring.testing.topology import CARPATICA
 
 GROUP = CARPATICA.groups[0]
-CALLERS = 8
-LINE = re.compile(
+CALLER_COUNT = 8
+TABLE_IN_FORCE_LINE = re.compile(
     r"^time=(\S+) .*event=table_in_force .*shard=(\d+) version=(\d+)"
 )
 
 
-def edit(fleet: Fleet, vm: str, value: int) -> int:
-    """Make an edit and return the version that was accepted."""
+def submit_edit(fleet: Fleet, vm: str, value: int) -> int:
+    """Submit an edit and return the accepted version."""
     host, _, port = fleet.vms[vm].operators_listen.rpartition(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=20)
     body = {
@@ -56,60 +56,64 @@
 
 
 def times_in_force(log: pathlib.Path) -> dict[int, float]:
-    """Return when each version of the group's shard came into force."""
-    found = {}
+    """Return the times at which versions of the shard came into force."""
+    times = {}
     for line in log.read_text(encoding="utf-8").splitlines():
-        match = LINE.match(line)
+        match = TABLE_IN_FORCE_LINE.match(line)
         if match and int(match[2]) == shard_of(GROUP):
             moment = datetime.fromisoformat(match[1].replace("Z", "+00:00"))
-            found[int(match[3])] = moment.timestamp()
-    return found
+            times[int(match[3])] = moment.timestamp()
+    return times
 
 
 def measure(fleet: Fleet, edits: int) -> dict[str, Any]:
-    """Make edits and return how long each took to be in force."""
+    """Submit edits and return how long each took to be in force."""
     names = list(fleet.vms)
-    begun: dict[int, float] = {}
-    accepted: dict[int, float] = {}
+    started_at: dict[int, float] = {}
+    accepted_at: dict[int, float] = {}
     for number in range(edits):
-        # The log's clock has milliseconds; the edit's start is rounded down.
+        # Log timestamps have millisecond resolution. The start is rounded
+        # down as well, so that an edit is never in force before its start.
         start = int(time.time() * 1000) / 1000
-        version = edit(fleet, names[number % len(names)], 1000 + number)
-        begun[version] = start
-        accepted[version] = time.time()
+        version = submit_edit(fleet, names[number % len(names)], 1000 + number)
+        started_at[version] = start
+        accepted_at[version] = time.time()
         time.sleep(0.2)
     time.sleep(10)
     logs = [times_in_force(fleet.directory / f"{name}.log") for name in names]
-    everywhere = [
-        max(log[version] for log in logs) - begun[version] for version in begun
+    in_force_delays = [
+        max(log[version] for log in logs) - started_at[version]
+        for version in started_at
     ]
-    answers = [accepted[v] - begun[v] for v in begun]
+    response_delays = [accepted_at[v] - started_at[v] for v in started_at]
     return {
         "vms": len(names),
         "edits": edits,
-        "in_force_ms": summary(everywhere),
-        "answered_ms": summary(answers),
+        "in_force_ms": summarize(in_force_delays),
+        "answered_ms": summarize(response_delays),
     }
 
 
-def summary(seconds: Sequence[float]) -> dict[str, float]:
-    """Return median and largest in milliseconds."""
+def summarize(seconds: Sequence[float]) -> dict[str, float]:
+    """Return the median and the maximum in milliseconds."""
     return {
         "median": round(1000 * statistics.median(seconds), 1),
         "max": round(1000 * max(seconds), 1),
     }
 
 
-def work(fleet: Fleet, at: int, stop: threading.Event) -> None:
-    """Read all the time through all VMs."""
-    caller = Caller(entries=fleet.entries(), entry_index=at)
+def read_until_stopped(
+    fleet: Fleet, entry_index: int, stop: threading.Event
+) -> None:
+    """Read through all VMs in turn until `stop` is set."""
+    caller = Caller(entries=fleet.entries(), entry_index=entry_index)
     while not stop.is_set():
         caller.roam()
         caller.read(GROUP, "SELECT 1")
 
 
 def main() -> None:
-    """Measure without and with load and write the results."""
+    """Measure without and with load and write the results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--edits", type=int, default=60)
     parser.add_argument("--out", default="")
@@ -121,8 +125,10 @@
         results["idle"] = measure(fleet, options.edits)
         stop = threading.Event()
         threads = [
-            threading.Thread(target=work, args=(fleet, at, stop), daemon=True)
-            for at in range(CALLERS)
+            threading.Thread(
+                target=read_until_stopped, args=(fleet, at, stop), daemon=True
+            )
+            for at in range(CALLER_COUNT)
         ]
         for thread in threads:
             thread.start()
--- a/bench/fits.py
+++ b/bench/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with their error."""
+"""Least-squares lines through measured points, with standard errors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Line:
-    """y = base + slope * x; errors are standard errors of the fit."""
+    """The line y = base + slope * x with the standard errors of the fit."""
 
     slope: float
     slope_error: float
@@ -22,7 +22,7 @@
     points: int
 
     def as_json(self) -> dict[str, float]:
-        """Return the line rounded for a result file."""
+        """Return the fields, rounded for a result file."""
         return {name: round(v, 6) for name, v in asdict(self).items()}
 
 
@@ -35,16 +35,16 @@
     sxy = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True))
     slope = sxy / sxx
     base = mean_y - slope * mean_x
-    rest = sum(
+    residual = sum(
         (y - base - slope * x) ** 2 for x, y in zip(xs, ys, strict=True)
     )
     total = sum((y - mean_y) ** 2 for y in ys)
-    variance = rest / (count - 2)
+    variance = residual / (count - 2)
     return Line(
         slope=slope,
         slope_error=math.sqrt(variance / sxx),
         base=base,
         base_error=math.sqrt(variance * (1 / count + mean_x**2 / sxx)),
-        r2=1 - rest / total if total else 1.0,
+        r2=1 - residual / total if total else 1.0,
         points=count,
     )
--- a/bench/fleet_sizes.py
+++ b/bench/fleet_sizes.py
@@ -1,7 +1,7 @@
-"""Show how the load of a VM that serves sessions grows with the fleet.
+"""Format how the load of a VM that serves sessions grows with the fleet.
 
-The figures are the middle and the busiest VM of one simulated day played at
-several sizes; `results/fleet_sizes.json` holds them as they were printed.
+The figures are those of the median and the busiest VM in a simulation of one
+day at several fleet sizes. `results/fleet_sizes.json` holds them as printed.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def section(sweeps: list[dict[str, Any]]) -> str:
-    """Return the part of the page on VMs that serve sessions."""
+    """Return the page section on VMs that serve sessions."""
     lines = ["## VMs that serve sessions, by size of the fleet", ""]
     for sweep in sweeps:
         lines += [*_sweep(sweep), ""]
--- a/bench/idle_connections.py
+++ b/bench/idle_connections.py
@@ -1,8 +1,9 @@
-"""Memory of one process for each idle connection of a caller.
+"""Measure the memory that an entry uses for each idle caller connection.
 
 Opens connections to one entry in steps, each with a session that has sent
-one statement, and reads the process's memory when they are idle. Steps stop
-at the process's own limit of open files, which is not raised.
+one statement, and reads the memory of the entry's process while they are idle.
+Steps above this process's limit of open files are skipped; the limit is not
+raised.
 
     python bench/idle_connections.py
 """
@@ -17,11 +18,11 @@
 
 import support
 
-STEPS = (0, 1_000, 2_000, 4_000, 8_000, 16_000)
-SPARE_FILES = 200
+CONNECTION_STEPS = (0, 1_000, 2_000, 4_000, 8_000, 16_000)
+RESERVED_FILES = 200
 
 
-def open_one(entry: str, request: bytes) -> socket.socket:
+def open_session_connection(entry: str, request: bytes) -> socket.socket:
     host, port = entry.rsplit(":", 1)
     sock = socket.create_connection((host, int(port)), timeout=10)
     sock.sendall(request)
@@ -30,7 +31,7 @@
     return sock
 
 
-def request_for(fleet: Any, entry: str) -> bytes:
+def build_request(fleet: Any, entry: str) -> bytes:
     session = support.call_json(
         entry, "POST", "/v1/sessions", {"caller": "idle"}
     )
@@ -50,7 +51,7 @@
 
 def main() -> None:
     soft, _hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    largest = min(soft, 65_536) - SPARE_FILES
+    max_connections = min(soft, 65_536) - RESERVED_FILES
     fleet = support.start(vms=4, slots=30, connections=60)
     socks: list[socket.socket] = []
     steps = []
@@ -58,18 +59,18 @@
         name = fleet.not_holders(support.GROUP)[0]
         pid = fleet.process(name).pid
         entry = fleet.vms[name].entry
-        request = request_for(fleet, entry)
-        for step in STEPS:
-            if step > largest:
+        request = build_request(fleet, entry)
+        for step in CONNECTION_STEPS:
+            if step > max_connections:
                 break
             while len(socks) < step:
-                socks.append(open_one(entry, request))
+                socks.append(open_session_connection(entry, request))
             time.sleep(2)
-            found = support.memory_kb(pid)
-            steps.append({"connections": step, **found})
+            memory = support.memory_kb(pid)
+            steps.append({"connections": step, **memory})
         before = support.processor_seconds(pid)
         time.sleep(5)
-        idle = (support.processor_seconds(pid) - before) / 5
+        idle_processor_share = (support.processor_seconds(pid) - before) / 5
     finally:
         for sock in socks:
             sock.close()
@@ -81,7 +82,7 @@
         "steps": steps,
         "kb_per_idle_connection": round(slope, 2),
         "open_files_limit": soft,
-        "processor_share_idle_percent": round(idle * 100, 2),
+        "processor_share_idle_percent": round(idle_processor_share * 100, 2),
     }
     support.write("idle_connections", result)
     print(json.dumps(result, indent=1))
--- a/bench/metrics_cost.py
+++ b/bench/metrics_cost.py
@@ -1,9 +1,9 @@
-"""What it costs to count one statement: plain counters against the SDK.
+"""Compare the cost of recording a statement: plain counters and the SDK.
 
     python bench/metrics_cost.py --out bench/results/metrics_cost.json
 
-Both are measured in one process, one after the other, several times over; the
-median of the rounds is given with the smallest and the largest.
+Both are measured in one process, one after the other, over several rounds. The
+result has the median, the minimum and the maximum of the rounds.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 from bamboospring.statements import Statement
 
 ROUNDS = 7
-CALLS = 20_000
+CALLS_PER_ROUND = 20_000
 GROUPS = 530
 
 
 def main() -> None:
-    """Measure and write the result as JSON."""
+    """Measure both ways and write the result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
     metrics = Metrics(knows=lambda _: True, slow_after=lambda _: 0.1)
     result = {
         "rounds": ROUNDS,
-        "calls": CALLS,
-        "plain_us": _measure(_plain(metrics)),
-        "sdk_histogram_us": _measure(_sdk()),
-        **_scrape(metrics),
+        "calls": CALLS_PER_ROUND,
+        "plain_us": _measure(_plain_recorder(metrics)),
+        "sdk_histogram_us": _measure(_sdk_recorder()),
+        **_measure_scrape(metrics),
     }
     text = json.dumps(result, indent=2)
     print(text)
@@ -52,10 +52,12 @@
 def _measure(call: Callable[[], None]) -> dict[str, float]:
     rounds = []
     for _ in range(ROUNDS):
-        begun = time.perf_counter()
-        for _ in range(CALLS):
+        started_at = time.perf_counter()
+        for _ in range(CALLS_PER_ROUND):
             call()
-        rounds.append((time.perf_counter() - begun) / CALLS * 1e6)
+        rounds.append(
+            (time.perf_counter() - started_at) / CALLS_PER_ROUND * 1e6
+        )
     return {
         "median": round(statistics.median(rounds), 3),
         "least": round(min(rounds), 3),
@@ -74,13 +76,13 @@
     )
 
 
-def _plain(metrics: Metrics) -> Callable[[], None]:
+def _plain_recorder(metrics: Metrics) -> Callable[[], None]:
     stmt = _statement("group-1")
     outcome = Done(term=1, index=1, target="t", at_replica=True)
     return lambda: metrics.answered(stmt, outcome, 0.004, 1.0)
 
 
-def _sdk() -> Callable[[], None]:
+def _sdk_recorder() -> Callable[[], None]:
     provider = MeterProvider(metric_readers=[InMemoryMetricReader()])
     meter = provider.get_meter("bench")
     histogram = meter.create_histogram("duration", unit="s")
@@ -88,8 +90,8 @@
     return lambda: histogram.record(0.004, attributes)
 
 
-def _scrape(metrics: Metrics) -> dict[str, Any]:
-    """Return what a scrape costs at an entry that has served all groups."""
+def _measure_scrape(metrics: Metrics) -> dict[str, Any]:
+    """Return the cost of a scrape at an entry that has served all groups."""
     import gzip
 
     outcome = Done(term=1, index=1, target="t", at_replica=True)
@@ -98,9 +100,9 @@
         metrics.answered(stmt, outcome, 0.004, 1.0)
     exporter = Exporter(vm="vm-1", availability_zone="zone-a")
     exporter.text(metrics.series())
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     text = exporter.text(metrics.series())
-    seconds = time.perf_counter() - begun
+    seconds = time.perf_counter() - started_at
     return {
         "scrape_groups": GROUPS,
         "scrape_ms": round(seconds * 1000, 2),
--- a/bench/movement.py
+++ b/bench/movement.py
@@ -1,10 +1,11 @@
-"""Measure how many holders' places move when VMs or groups come or go.
+"""Measure how many holder places move when VMs or groups are changed.
 
     python -m bench.movement --out bench/results/movement.json
 
-The ideal moves only the places of the VM that went. Plain rendezvous hashing
-does that; even holders move some more, because a group that takes a VM's room
-may push another one off it. Each figure stands beside that of the plain rule.
+In the ideal case only the places of a removed VM move. Plain rendezvous
+hashing achieves this. With a bounded load ("even") some more places move,
+because a group that is placed on a VM can displace another group from it. Each
+figure is given for both rules.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 from bamboospring.rendezvous import Placement
 
 GROUPS = tuple(f"group-{number}" for number in range(530))
-CHANGES = 40
-SEVERAL = 10
+CHANGE_COUNT = 40
+SEVERAL_VMS = 10
 
 Holders = dict[str, set[str]]
 
 
 def make_fleet(size: int, zones: int, regions: int) -> list[Vm]:
-    """Return a fleet laid out evenly."""
+    """Return VMs that are spread evenly over zones and regions."""
     return [
         Vm(
             name=f"vm-{number}",
@@ -44,47 +45,51 @@
     ]
 
 
-def place(vms: list[Vm], known: Collection[str]) -> Holders:
-    """Return the holders of each group while these names are known."""
-    placement = Placement(vms, known)
+def place_groups(vms: list[Vm], known_groups: Collection[str]) -> Holders:
+    """Return the holders of each group, given the known group names."""
+    placement = Placement(vms, known_groups)
     return {
         group: {vm.name for vm in placement.holders(group)} for group in GROUPS
     }
 
 
 def count_moved(before: Holders, after: Holders) -> int:
-    """Return the places that are new."""
+    """Return the number of places that changed their VM."""
     return sum(len(after[group] - before[group]) for group in before)
 
 
 def count_held(holders: Holders, vms: Collection[Vm]) -> int:
-    """Return the places of some VMs."""
+    """Return the number of places that these VMs hold."""
     names = {vm.name for vm in vms}
     return sum(len(names & held) for held in holders.values())
 
 
-def lose(
+def remove_vms(
     before: Holders,
     vms: list[Vm],
-    gone: Collection[Vm],
-    known: Collection[str],
+    removed: Collection[Vm],
+    known_groups: Collection[str],
 ) -> tuple[int, int]:
-    """Return the places that move, and those that the lost VMs had."""
-    after = place([vm for vm in vms if vm not in gone], known)
-    return count_moved(before, after), count_held(before, gone)
+    """Return how many places move and how many the removed VMs held."""
+    after = place_groups([vm for vm in vms if vm not in removed], known_groups)
+    return count_moved(before, after), count_held(before, removed)
 
 
-def measure_rule(vms: list[Vm], known: Collection[str]) -> dict[str, Any]:
-    """Measure one rule: the plain one if no names are known."""
-    before = place(vms, known)
+def measure_rule(
+    vms: list[Vm], known_groups: Collection[str]
+) -> dict[str, Any]:
+    """Measure one rule: the plain one if no group names are known."""
+    before = place_groups(vms, known_groups)
     held = [count_held(before, [vm]) for vm in vms]
-    chance = random.Random(1)
-    chosen = chance.sample(vms, min(CHANGES, len(vms)))
-    one = [lose(before, vms, [vm], known) for vm in chosen]
-    several = lose(before, vms, chance.sample(vms, SEVERAL), known)
+    rng = random.Random(1)
+    chosen = rng.sample(vms, min(CHANGE_COUNT, len(vms)))
+    one = [remove_vms(before, vms, [vm], known_groups) for vm in chosen]
+    several = remove_vms(
+        before, vms, rng.sample(vms, SEVERAL_VMS), known_groups
+    )
     first = vms[0].region, vms[0].availability_zone
     zone = [vm for vm in vms if (vm.region, vm.availability_zone) == first]
-    zone_lost = lose(before, vms, zone, known)
+    zone_lost = remove_vms(before, vms, zone, known_groups)
     places = len(GROUPS) * HOLDERS_PER_GROUP
     return {
         "groups_per_vm_mean": statistics.mean(held),
@@ -93,58 +98,58 @@
         "moved_share_mean": statistics.mean(m for m, _ in one) / places,
         "needless_moves_mean": statistics.mean(m - h for m, h in one),
         "needless_moves_max": max(m - h for m, h in one),
-        "moved_per_place_one_lost": ratio(one),
-        f"moved_per_place_{SEVERAL}_lost": ratio([several]),
-        "moved_per_place_zone_lost": ratio([zone_lost]),
+        "moved_per_place_one_lost": moves_per_lost_place(one),
+        f"moved_per_place_{SEVERAL_VMS}_lost": moves_per_lost_place([several]),
+        "moved_per_place_zone_lost": moves_per_lost_place([zone_lost]),
     }
 
 
-def ratio(moves: list[tuple[int, int]]) -> float:
-    """Return how many places moved for each that was lost."""
+def moves_per_lost_place(moves: list[tuple[int, int]]) -> float:
+    """Return the number of moved places for each lost place."""
     return sum(m for m, _ in moves) / max(1, sum(h for _, h in moves))
 
 
 def measure_new_group(vms: list[Vm]) -> dict[str, float]:
     """Return how many places of other groups one new group moves."""
-    after = place(vms, GROUPS)
+    after = place_groups(vms, GROUPS)
     moves = []
-    for new in random.Random(2).sample(GROUPS, CHANGES):
+    for new in random.Random(2).sample(GROUPS, CHANGE_COUNT):
         known = [name for name in GROUPS if name != new]
-        before = place(vms, known)
+        before = place_groups(vms, known)
         del before[new]
         moves.append(count_moved(before, after))
     return {"mean": statistics.mean(moves), "max": max(moves)}
 
 
 def measure_cost(vms: list[Vm]) -> dict[str, float]:
-    """Time ranking all VMs, the first placement and a changed list."""
-    begun = time.perf_counter()
+    """Time the ranking of all VMs, the first placement and list changes."""
+    started_at = time.perf_counter()
     for group in GROUPS:
         choose_holders(group, vms, HOLDERS_PER_GROUP)
-    ranked = time.perf_counter() - begun
+    ranking_seconds = time.perf_counter() - started_at
     placement = Placement(vms)
     placement.set_groups(GROUPS)
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     placement.prepare(len(GROUPS))
-    first = time.perf_counter() - begun
-    changes = []
-    for gone in random.Random(1).sample(vms, min(CHANGES, len(vms))):
-        for listed in ([vm for vm in vms if vm != gone], vms):
-            begun = time.perf_counter()
+    first_placement_seconds = time.perf_counter() - started_at
+    change_seconds = []
+    for removed in random.Random(1).sample(vms, min(CHANGE_COUNT, len(vms))):
+        for listed in ([vm for vm in vms if vm != removed], vms):
+            started_at = time.perf_counter()
             placement.set_vms(listed)
-            changes.append(time.perf_counter() - begun)
-    change = statistics.median(changes)
+            change_seconds.append(time.perf_counter() - started_at)
+    change = statistics.median(change_seconds)
     return {
-        "microseconds_per_group": 1e6 * ranked / len(GROUPS),
-        "first_placement_ms": 1e3 * first,
+        "microseconds_per_group": 1e6 * ranking_seconds / len(GROUPS),
+        "first_placement_ms": 1e3 * first_placement_seconds,
         "list_change_ms_median": 1e3 * change,
-        "list_change_ms_max": 1e3 * max(changes),
-        "list_change_to_ranking_all": change / ranked,
+        "list_change_ms_max": 1e3 * max(change_seconds),
+        "list_change_to_ranking_all": change / ranking_seconds,
     }
 
 
 def measure(size: int, zones: int, regions: int) -> dict[str, Any]:
-    """Measure both rules and the cost in a fleet of one size."""
+    """Measure both rules and their cost in one fleet."""
     vms = make_fleet(size, zones, regions)
     return {
         "vms": size,
@@ -159,7 +164,7 @@
 
 
 def main() -> None:
-    """Measure several fleets and write the results."""
+    """Measure several fleets and write the results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", default="")
     options = parser.parse_args()
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,10 +1,10 @@
-"""What the proxy adds to a statement, against a direct call to the target.
+"""Measure the latency and processor time that the proxy adds to a statement.
 
-One caller at a time: a direct exchange with a target stand-in, the same
-through a holder (entry and holder in one process) and through an entry that
-forwards. The three take turns in one run, so that a noisy host hits all
-alike. Then statements a second for each core: processor time of entry and
-holder under load.
+One caller at a time sends a statement directly to a target stand-in, through a
+holder (entry and holder in one process) and through an entry that forwards it.
+The three paths take turns in one run, so that noise on the host affects them
+alike. The statements per second and core follow from the processor time of
+entry and holder under load.
 
     python bench/overhead.py
 """
@@ -23,12 +23,12 @@
 from bamboospring.testing.caller import Caller
 
 ROUNDS = 60
-EACH = 50
+CALLS_PER_TURN = 50
 LOAD_SECONDS = 8.0
 
 
-class Direct:
-    """A statement connection of our own to a target."""
+class DirectConnection:
+    """A statement connection to a target that bypasses the proxy."""
 
     def __init__(self, address: str) -> None:
         host, port = address.rsplit(":", 1)
@@ -57,14 +57,14 @@
         return json.loads(self._conn.getresponse().read())
 
 
-def through(caller: Caller) -> None:
+def read_through(caller: Caller) -> None:
     answer = caller.read(support.GROUP, support.READ)
     assert answer.done, answer
 
 
 def measure_latency(fleet: Any) -> dict[str, Any]:
     target = next(iter(fleet.targets.values()))
-    direct = Direct(target.listen)
+    direct = DirectConnection(target.listen)
     names = list(fleet.vms)
     holder = fleet.holders(support.GROUP)[0]
     other = fleet.not_holders(support.GROUP)[0]
@@ -72,21 +72,23 @@
         entries=fleet.entries(), entry_index=names.index(holder)
     )
     at_entry = Caller(entries=fleet.entries(), entry_index=names.index(other))
-    ways = {
+    paths = {
         "direct": direct.read,
-        "holder": lambda: through(at_holder),
-        "entry_and_holder": lambda: through(at_entry),
+        "holder": lambda: read_through(at_holder),
+        "entry_and_holder": lambda: read_through(at_entry),
     }
-    found = {name: HdrHistogram(1, 10_000_000, 3) for name in ways}
+    histograms = {name: HdrHistogram(1, 10_000_000, 3) for name in paths}
     for number in range(ROUNDS):
-        for name, call in ways.items():
-            for _ in range(EACH):
-                began = time.perf_counter()
+        for name, call in paths.items():
+            for _ in range(CALLS_PER_TURN):
+                started_at = time.perf_counter()
                 call()
                 if number > 0:
-                    taken = int((time.perf_counter() - began) * 1e6)
-                    found[name].record_value(taken)
-    return {name: percentiles(histogram) for name, histogram in found.items()}
+                    elapsed_us = int((time.perf_counter() - started_at) * 1e6)
+                    histograms[name].record_value(elapsed_us)
+    return {
+        name: percentiles(histogram) for name, histogram in histograms.items()
+    }
 
 
 def percentiles(histogram: Any) -> dict[str, float]:
@@ -97,7 +99,7 @@
 
 
 def measure_cores(fleet: Any) -> dict[str, Any]:
-    """Put load on one entry; split processor time by role."""
+    """Load one entry and return the processor time by role."""
     holders = set(fleet.holders(support.GROUP))
     entry = fleet.not_holders(support.GROUP)[0]
     pids = {name: fleet.process(name).pid for name in fleet.vms}
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,12 +1,13 @@
-"""Goodput and refusals at twice the capacity, with and without admission.
+"""Measure goodput and refusals under overload, with and without admission.
 
-Capacity is measured in the same run: as many direct callers as the targets
-have slots, each sending its next statement at once. Then the load tool sends
-half and twice as much through the proxy. The baseline is the same program
-without admission: there every statement waits until its deadline. With
-`own_first` entries do not count what holders owe them. All entries are holders
-but in the runs `apart`, where none is one, as it is for 99 % of the statements
-of a large fleet.
+Capacity is measured in the same run by as many direct callers as the targets
+have slots, each of which sends its next statement immediately. The load tool
+then sends half of the capacity, the capacity and twice the capacity through
+the proxy. The baseline is the same program without admission, in which every
+statement waits until its deadline. In the runs `own_first`, entries don't
+count the statements that are in flight to each holder. In the runs `apart`, no
+entry is a holder, which is the case for 99 % of the statements of a large
+fleet; in all other runs every entry is a holder.
 
     python bench/overload.py
 """
@@ -24,9 +25,9 @@
 
 STATEMENT_MS = 20
 SLOTS = 3
-SECONDS = 10.0
+RATE_SECONDS = 10.0
 DEADLINE_MS = 250
-RATES = (0.5, 1.0, 2.0)
+CAPACITY_FACTORS = (0.5, 1.0, 2.0)
 
 
 class BaselineFleet(Fleet):
@@ -41,51 +42,60 @@
 
 
 class OwnFirstFleet(BaselineFleet):
-    """A fleet whose entries do not count what holders owe them."""
+    """A fleet whose entries don't count statements in flight to holders."""
 
     serve = "own_first_serve"
 
 
-def closed_loop(address: str, end: float) -> int:
-    direct = overhead.Direct(address)
+def run_closed_loop(address: str, deadline: float) -> int:
+    direct = overhead.DirectConnection(address)
     count = 0
-    while time.monotonic() < end:
+    while time.monotonic() < deadline:
         direct.read()
         count += 1
     return count
 
 
 def measure_capacity(fleet: Fleet) -> float:
-    """Return statements a second of the replicas, which serve all reads."""
+    """Return the statements per second of the replicas.
+
+    The replicas serve all reads.
+    """
     end = time.monotonic() + 4.0
-    works = [
-        lambda t=name: closed_loop(fleet.targets[t].listen, end)
+    loops = [
+        lambda t=name: run_closed_loop(fleet.targets[t].listen, end)
         for name in fleet.replicas(support.GROUP)
         for _ in range(SLOTS)
     ]
-    return sum(support.in_threads(works)) / 4.0
+    return sum(support.in_threads(loops)) / 4.0
 
 
-def entries_apart(fleet: Fleet) -> list[str]:
-    """Return the entries of VMs that do not hold the group."""
+def non_holder_entries(fleet: Fleet) -> list[str]:
+    """Return the entries of the VMs that don't hold the group."""
     return [fleet.vms[name].entry for name in fleet.not_holders(support.GROUP)]
 
 
-def measure(kind: type[Fleet], *, apart: bool = False) -> dict[str, Any]:
+def measure(
+    kind: type[Fleet], *, non_holders_only: bool = False
+) -> dict[str, Any]:
     fleet = kind(
-        topology=support.estate(
+        topology=support.make_topology(
             slots=SLOTS, connections=40, statement_ms=STATEMENT_MS
         ),
-        vms=6 if apart else 3,
+        vms=6 if non_holders_only else 3,
     )
     try:
         fleet.start()
         fleet.wait_serving()
         capacity = measure_capacity(fleet)
         result: dict[str, Any] = {"capacity_per_s": round(capacity, 1)}
-        for factor in RATES:
-            result[f"at_{factor:g}x"] = at_rate(
-                entries_apart(fleet) if apart else fleet.entries(),
+        for factor in CAPACITY_FACTORS:
+            result[f"at_{factor:g}x"] = measure_at_rate(
+                (
+                    non_holder_entries(fleet)
+                    if non_holders_only
+                    else fleet.entries()
+                ),
                 capacity * factor,
                 capacity,
             )
@@ -102,27 +112,27 @@
         fleet.close()
 
 
-def at_rate(
+def measure_at_rate(
     entries: list[str], rate: float, capacity: float
 ) -> dict[str, Any]:
-    found = support.run_load(
+    result = support.run_load(
         entries=entries,
         group=support.GROUP,
         rate=rate,
-        seconds=SECONDS,
+        seconds=RATE_SECONDS,
         callers=600,
         sessions_per_caller=10,
         read_sql=support.READ,
         deadline_ms=DEADLINE_MS,
     )
-    done = found["outcomes"].get("done", 0) / SECONDS
+    done = result["outcomes"].get("done", 0) / RATE_SECONDS
     return {
         "sent_per_s": round(rate, 1),
         "goodput_per_s": round(done, 1),
         "goodput_of_capacity": round(done / capacity, 3),
-        "outcomes": found["outcomes"],
-        "reasons": found["reasons"],
-        "latency_ms": found["latency_ms"],
+        "outcomes": result["outcomes"],
+        "reasons": result["reasons"],
+        "latency_ms": result["latency_ms"],
     }
 
 
@@ -131,8 +141,8 @@
         "admission": measure(Fleet),
         "own_first": measure(OwnFirstFleet),
         "baseline": measure(BaselineFleet),
-        "admission_apart": measure(Fleet, apart=True),
-        "own_first_apart": measure(OwnFirstFleet, apart=True),
+        "admission_apart": measure(Fleet, non_holders_only=True),
+        "own_first_apart": measure(OwnFirstFleet, non_holders_only=True),
     }
     support.write("overload", result)
     print(json.dumps(result, indent=1))
--- a/bench/own_first_serve.py
+++ b/bench/own_first_serve.py
@@ -1,7 +1,8 @@
-"""`serve` as before entries counted what holders owe them.
+"""Run `serve` without counts of the statements in flight to each holder.
 
-For the comparison in bench/overload.py: an entry that is a holder sends
-everything to itself, the others take turns.
+bench/overload.py compares this variant with the normal program. Without the
+counts, an entry that is a holder sends all statements to itself, and the other
+entries send them to the holders in turn.
 """
 
 import sys
@@ -13,7 +14,7 @@
 
 
 def main() -> None:
-    """Serve with the settings named after `serve --settings`."""
+    """Serve with the settings file given after `serve --settings`."""
     sys.exit(cli.serve(sys.argv[3]))
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,10 +1,11 @@
-"""Who gets what at the size to design for, worked out by the real functions.
+"""Compute the placement of groups for the design size of the fleet.
 
     python bench/placement.py --out bench/results/placement.json
 
-No process is started: placement is a pure function of the list of VMs and the
-names of groups, so that the shares, the way of an edit and the movement on a
-change can be computed for the whole fleet.
+No process is started. Placement is a pure function of the list of VMs and the
+names of the groups, so the functions of the program compute the groups of each
+VM, the hops of an edit and the places that move on a change for the whole
+fleet.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 GROUPS = 530
 ZONES = 4
 REGIONS = 2
-HOLDERS = 3
-EVEN = tuple(f"group-{number}" for number in range(GROUPS))
-PLAIN = ()
+HOLDERS_PER_GROUP = 3
+GROUP_NAMES = tuple(f"group-{number}" for number in range(GROUPS))
+NO_GROUP_NAMES = ()
 BUCKETS = 16
-TRIES = 40
+REMOVED_VM_COUNT = 40
 
 
 def main() -> None:
-    """Compute and write the result as JSON."""
+    """Compute the placement and write the result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
@@ -43,17 +44,17 @@
     result = {
         "vms": VMS,
         "groups": GROUPS,
-        "held_groups": _held(vms, EVEN),
-        "held_groups_plain": _held(vms, PLAIN),
-        "buckets_led_most": _most_buckets(vms),
+        "held_groups": _held_groups(vms, GROUP_NAMES),
+        "held_groups_plain": _held_groups(vms, NO_GROUP_NAMES),
+        "buckets_led_most": _max_buckets(vms),
         "links": _links(vms),
-        "edit_hops": _hops(vms),
-        "edit_hops_zone_lost": _hops(
+        "edit_hops": _edit_hops(vms),
+        "edit_hops_zone_lost": _edit_hops(
             [vm for vm in vms if not _in_first_zone(vm)]
         ),
-        "moved_by_one_vm": _moved(vms, EVEN),
-        "moved_by_one_vm_plain": _moved(vms, PLAIN),
-        "groups_without_holder_zone_lost": _bereft(vms),
+        "moved_by_one_vm": _moved_places(vms, GROUP_NAMES),
+        "moved_by_one_vm_plain": _moved_places(vms, NO_GROUP_NAMES),
+        "groups_without_holder_zone_lost": _groups_without_holder(vms),
     }
     text = json.dumps(result, indent=1)
     print(text)
@@ -77,15 +78,24 @@
     return (vm.availability_zone, vm.region) == ("zone-0", "region-0")
 
 
-def _holders(vms: list[Vm], known: tuple[str, ...]) -> dict[str, set[str]]:
-    """Return the holders of all groups while these names are known."""
-    placement = Placement(vms, known)
-    return {name: {vm.name for vm in placement.holders(name)} for name in EVEN}
+def _holders(
+    vms: list[Vm], known_groups: tuple[str, ...]
+) -> dict[str, set[str]]:
+    """Return the holders of all groups, given the known group names."""
+    placement = Placement(vms, known_groups)
+    return {
+        name: {vm.name for vm in placement.holders(name)}
+        for name in GROUP_NAMES
+    }
 
 
-def _held(vms: list[Vm], known: tuple[str, ...]) -> dict[str, float]:
+def _held_groups(
+    vms: list[Vm], known_groups: tuple[str, ...]
+) -> dict[str, float]:
     counts = Counter(
-        name for names in _holders(vms, known).values() for name in names
+        name
+        for names in _holders(vms, known_groups).values()
+        for name in names
     )
     numbers = sorted(counts.get(vm.name, 0) for vm in vms)
     return {
@@ -97,15 +107,18 @@
     }
 
 
-def _most_buckets(vms: list[Vm]) -> int:
+def _max_buckets(vms: list[Vm]) -> int:
     first = Counter(
         choose_candidates(bucket, vms)[0].name for bucket in range(BUCKETS)
     )
     return max(first.values())
 
 
-def _graph(vms: list[Vm]) -> dict[str, set[str]]:
-    """Return who hears whose announcements: neighbours, both ways."""
+def _neighbour_graph(vms: list[Vm]) -> dict[str, set[str]]:
+    """Return the VMs that exchange announcements with each VM.
+
+    Neighbours announce in both directions.
+    """
     graph: dict[str, set[str]] = {vm.name: set() for vm in vms}
     for vm in vms:
         for other in choose_neighbours(vm.name, vms):
@@ -115,25 +128,25 @@
 
 
 def _links(vms: list[Vm]) -> dict[str, float]:
-    sizes = [len(names) for names in _graph(vms).values()]
+    sizes = [len(names) for names in _neighbour_graph(vms).values()]
     return {"mean": round(statistics.mean(sizes), 2), "most": max(sizes)}
 
 
-def _hops(vms: list[Vm]) -> dict[str, Any]:
-    """Return how many hops an edit takes from the platform's watchers."""
-    graph = _graph(vms)
+def _edit_hops(vms: list[Vm]) -> dict[str, Any]:
+    """Return the hops of an edit from the platform watchers to each VM."""
+    graph = _neighbour_graph(vms)
     reached = {vm.name: 0 for vm in choose_platform_watchers(vms)}
-    front: Iterable[str] = list(reached)
+    frontier: Iterable[str] = list(reached)
     hops = 0
-    while front:
+    while frontier:
         hops += 1
-        front = {
+        frontier = {
             other
-            for name in front
+            for name in frontier
             for other in graph[name]
             if other not in reached
         }
-        reached |= {name: hops for name in front}
+        reached |= {name: hops for name in frontier}
     return {
         "mean": round(statistics.mean(reached.values()), 2),
         "most": max(reached.values()),
@@ -141,24 +154,26 @@
     }
 
 
-def _moved(vms: list[Vm], known: tuple[str, ...]) -> dict[str, float]:
-    """Return the share of holder places that one lost VM moves."""
-    before = _holders(vms, known)
+def _moved_places(
+    vms: list[Vm], known_groups: tuple[str, ...]
+) -> dict[str, float]:
+    """Return the share of holder places that move when a VM is removed."""
+    before = _holders(vms, known_groups)
     shares = []
-    for gone in range(0, VMS, VMS // TRIES):
-        rest = [vm for vm in vms if vm.name != f"vm-{gone}"]
-        after = _holders(rest, known)
+    for removed in range(0, VMS, VMS // REMOVED_VM_COUNT):
+        rest = [vm for vm in vms if vm.name != f"vm-{removed}"]
+        after = _holders(rest, known_groups)
         moved = sum(len(after[group] - before[group]) for group in before)
-        shares.append(moved / (GROUPS * HOLDERS))
+        shares.append(moved / (GROUPS * HOLDERS_PER_GROUP))
     return {
         "mean_share": round(statistics.mean(shares), 5),
         "ideal_share": round(1 / VMS, 5),
     }
 
 
-def _bereft(vms: list[Vm]) -> int:
+def _groups_without_holder(vms: list[Vm]) -> int:
     lost = {vm.name for vm in vms if _in_first_zone(vm)}
-    return sum(names <= lost for names in _holders(vms, EVEN).values())
+    return sum(names <= lost for names in _holders(vms, GROUP_NAMES).values())
 
 
 if __name__ == "__main__":
--- a/bench/platform_calls.py
+++ b/bench/platform_calls.py
@@ -1,9 +1,9 @@
-"""Count the platform's calls by purpose: calm, in an outage and after it.
+"""Count calls to the platform by purpose before, during and after an outage.
 
     python -m bench.platform_calls --out bench/results/platform_calls.json
 
-Real processes: nine VMs, three groups of three targets and the platform's
-stand-in, without statements.
+Runs real processes: nine VMs, three groups of three targets and the platform
+stand-in. No statements are sent.
 """
 
 from __future__ import annotations
@@ -24,41 +24,41 @@
 AFTER_SECONDS = 20
 
 
-def counts(fleet: Fleet) -> Counter[str]:
-    """Return calls so far by kind and purpose, without the bench's own."""
+def count_calls(fleet: Fleet) -> Counter[str]:
+    """Return all calls by kind and purpose, without those of the benchmark."""
     counters = fleet.counters(PLATFORM)
-    found: Counter[str] = Counter()
+    calls: Counter[str] = Counter()
     for kind in ("reads", "writes"):
         for purpose, number in counters[kind].items():
             if purpose != "none":
-                found[f"{kind} {purpose}"] += number
-    return found
+                calls[f"{kind} {purpose}"] += number
+    return calls
 
 
-def rates(fleet: Fleet, seconds: int) -> dict[str, Any]:
-    """Return calls a second by purpose, and the busiest second's calls."""
-    begun = counts(fleet)
-    before = begun
+def measure_rates(fleet: Fleet, seconds: int) -> dict[str, Any]:
+    """Return calls per second by purpose and those of the busiest second."""
+    first = count_calls(fleet)
+    before = first
     busiest = 0
     for _ in range(seconds):
         time.sleep(1)
-        now = counts(fleet)
+        now = count_calls(fleet)
         busiest = max(busiest, (now - before).total())
         before = now
-    spent = before - begun
+    total = before - first
     return {
         "seconds": seconds,
         "per_second": {
             name: round(number / seconds, 2)
-            for name, number in sorted(spent.items())
+            for name, number in sorted(total.items())
         },
-        "total_per_second": round(spent.total() / seconds, 2),
+        "total_per_second": round(total.total() / seconds, 2),
         "busiest_second": busiest,
     }
 
 
 def main() -> None:
-    """Measure the three phases and write the results."""
+    """Measure the three phases and write the results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", default="")
     options = parser.parse_args()
@@ -66,11 +66,11 @@
     with Fleet(topology=CARPATICA) as fleet:
         fleet.wait_serving()
         time.sleep(5)
-        results["calm"] = rates(fleet, CALM_SECONDS)
+        results["calm"] = measure_rates(fleet, CALM_SECONDS)
         fleet.set_platform_faults(outage="refuse")
-        results["outage"] = rates(fleet, OUTAGE_SECONDS)
+        results["outage"] = measure_rates(fleet, OUTAGE_SECONDS)
         fleet.set_platform_faults(outage="none")
-        results["after"] = rates(fleet, AFTER_SECONDS)
+        results["after"] = measure_rates(fleet, AFTER_SECONDS)
     text = json.dumps(results, indent=1)
     print(text)
     if options.out:
--- a/bench/replica_share.py
+++ b/bench/replica_share.py
@@ -1,19 +1,18 @@
-"""Measure the share of reads at replicas, and whether sessions stay whole.
+"""Measure the share of reads at replicas and violations of sessions.
 
     python bench/replica_share.py --seconds 5 --out bench/results/...json
 
 The same callers do the same work under three policies in one run:
 
-- `bamboospring`: reads go through the fleet, as it decides;
-- `primary`: reads go through the fleet with all read weights at zero, so
-  that every read is served by the primary: the baseline;
-- `random`: reads go straight to a replica drawn at random, without a
-  session. It has to be seen breaking read-your-writes, else the check could
-  not fail.
+- `bamboospring`: reads go through the fleet, which chooses the target;
+- `primary`: reads go through the fleet with all read weights at zero, so that
+  the primary serves every read; this is the baseline;
+- `random`: reads go directly to a random replica, without a session. This
+  policy must violate read-your-writes; otherwise the check cannot fail.
 
 Writes always go through the fleet. A third of the callers write a number and
-read it back, bound by their sessions; the others only make lookups that take
-data 2 s old.
+read it back in their session. The others only make lookups that accept data up
+to 2 s old.
 """
 
 from __future__ import annotations
@@ -43,14 +42,15 @@
 
 GROUP = MALABAR.groups[0]
 VMS = 3
-CALLERS = 9
-WRITERS = 3
-OWN_READS = 3
+CALLER_COUNT = 9
+WRITER_COUNT = 3
+OWN_READS_PER_WRITE = 3
 STALENESS_MS = 2000
 THINK_SECONDS = 0.02
 LOOKUP_THINK_SECONDS = 0.005
-# Replicas that have just begun to lag still pass for fresh during the age
-# that lookups take; what happens in this time is not counted.
+# A replica that has just begun to lag is fresh enough for lookups until its
+# data are older than the staleness that lookups accept. Reads in this time are
+# not counted.
 WARM_UP_SECONDS = STALENESS_MS / 1000 + 0.5
 POLICIES = ("bamboospring", "primary", "random")
 SCHEMA = "CREATE TABLE notes (name TEXT PRIMARY KEY, number INTEGER);"
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Condition:
-    """One state of the replicas."""
+    """Lag and number of stopped replicas during a measurement."""
 
     name: str
     lag_ms: int
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Score:
-    """What one policy did under one condition."""
+    """Counts and latencies of one policy under one condition."""
 
     condition: str
     policy: str
@@ -102,13 +102,13 @@
 
 
 class DirectReader:
-    """Reads straight at a random replica, past the fleet."""
+    """Reader that bypasses the fleet and reads at a random replica."""
 
     def __init__(self, addresses: list[str]) -> None:
         self._conns = [self._open(address) for address in addresses]
 
     def read(self, name: str) -> list[list[Any]]:
-        """Return the rows that some replica has now."""
+        """Return the rows that a random replica has applied."""
         conn = random.choice(self._conns)
         body = {
             "id": 2,
@@ -140,13 +140,13 @@
 
 
 class Worker:
-    """One caller under one policy."""
+    """A caller that works under one policy."""
 
     def __init__(self, *, fleet: Fleet, number: int, policy: str) -> None:
         self.score = Score(condition="", policy=policy)
         self.latency = HdrHistogram(1, 60_000_000, 3)
         self._name = f"caller-{number}"
-        self._writes = number < WRITERS
+        self._is_writer = number < WRITER_COUNT
         self._caller = Caller(
             entries=fleet.entries(), name=self._name, entry_index=number
         )
@@ -155,12 +155,12 @@
             living = [
                 fleet.targets[name].listen
                 for name in fleet.replicas(GROUP)
-                if name not in STOPPED
+                if name not in STOPPED_REPLICAS
             ]
             self._direct = DirectReader(living)
 
     def run(self, begin: float, end: float) -> None:
-        """Work until `end` and count from `begin` on."""
+        """Work until `end` and count operations from `begin` on."""
         counted = False
         for number in self._numbers(end):
             if not counted and time.monotonic() >= begin:
@@ -168,7 +168,7 @@
                 self.score = Score(condition="", policy=self.score.policy)
                 self.latency.reset()
             self._caller.roam()
-            if self._writes:
+            if self._is_writer:
                 self._write_and_read(number)
             else:
                 self._look_up()
@@ -186,7 +186,7 @@
         answer = self._caller.write(GROUP, WRITE, [self._name, number])
         if answer.done:
             self.score.writes += 1
-            for _ in range(OWN_READS):
+            for _ in range(OWN_READS_PER_WRITE):
                 self._read_own(number)
         else:
             self.score.not_done += 1
@@ -210,7 +210,7 @@
             self.score.stale_own_reads += 1
 
     def _read(self, staleness_ms: int | None) -> tuple[Any, bool]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         if self._direct is not None:
             rows: Any = self._direct.read(self._name)
             at_replica = True
@@ -222,18 +222,18 @@
                 self.score.not_done += 1
                 return None, False
             rows, at_replica = answer.rows, answer.at_replica
-        micros = int((time.monotonic() - began) * 1e6)
+        micros = int((time.monotonic() - started_at) * 1e6)
         self.latency.record_value(max(1, micros))
         self.score.reads += 1
         self.score.at_replicas += at_replica
         return rows, at_replica
 
 
-STOPPED: set[str] = set()
+STOPPED_REPLICAS: set[str] = set()
 
 
 def set_weights(fleet: Fleet, policy: str) -> None:
-    """Send all reads to the primary, or let the fleet decide."""
+    """Set the read weights that a policy needs."""
     row: dict[str, Any] = {"group": GROUP}
     if policy == "primary":
         row["read_weights"] = {"old": 0, "new": 0}
@@ -245,10 +245,10 @@
 def measure(
     fleet: Fleet, condition: Condition, policy: str, seconds: float
 ) -> Score:
-    """Let all callers work and add their scores up."""
+    """Run all callers and return the sum of their scores."""
     workers = [
         Worker(fleet=fleet, number=number, policy=policy)
-        for number in range(CALLERS)
+        for number in range(CALLER_COUNT)
     ]
     begin = time.monotonic() + WARM_UP_SECONDS
     end = begin + seconds
@@ -260,10 +260,12 @@
         thread.start()
     for thread in threads:
         thread.join()
-    return add_up(workers, condition, policy)
+    return sum_scores(workers, condition, policy)
 
 
-def add_up(workers: list[Worker], condition: Condition, policy: str) -> Score:
+def sum_scores(
+    workers: list[Worker], condition: Condition, policy: str
+) -> Score:
     """Return the sum of the workers' scores."""
     total = Score(condition=condition.name, policy=policy)
     latency = HdrHistogram(1, 60_000_000, 3)
@@ -287,37 +289,39 @@
 
 
 def share(part: int, whole: int) -> float:
-    """Return a rounded share, 0 of nothing."""
+    """Return a rounded share, or 0 if the whole is 0."""
     return round(part / whole, 4) if whole else 0.0
 
 
 def prepare(fleet: Fleet, condition: Condition) -> None:
-    """Set the lag and stop replicas as the condition says."""
-    for name in list(STOPPED):
+    """Set the lag and stop replicas according to the condition."""
+    for name in list(STOPPED_REPLICAS):
         fleet.thaw(name)
-        STOPPED.discard(name)
+        STOPPED_REPLICAS.discard(name)
     wait_until(
-        lambda: is_level(fleet), seconds=20, what="replicas to be level"
+        lambda: replicas_are_level(fleet),
+        seconds=20,
+        what="replicas to be level",
     )
     for target in fleet.members(GROUP):
         fleet.set_target(target.name, apply_lag_ms=condition.lag_ms)
     for name in fleet.replicas(GROUP)[: condition.stopped]:
         fleet.freeze(name)
-        STOPPED.add(name)
+        STOPPED_REPLICAS.add(name)
     time.sleep(2.0)
 
 
-def is_level(fleet: Fleet) -> bool:
-    """Tell whether all targets show the same entries."""
+def replicas_are_level(fleet: Fleet) -> bool:
+    """Return whether all targets have applied the same entries."""
     probes = [fleet.probe(target.name) for target in fleet.members(GROUP)]
     return len({probe["applied"] for probe in probes}) == 1
 
 
 def run(seconds: float) -> list[Score]:
     """Measure each policy under each condition in one fleet."""
-    estate = replace(MALABAR, groups=(GROUP,), schema=SCHEMA)
+    topology = replace(MALABAR, groups=(GROUP,), schema=SCHEMA)
     scores = []
-    with Fleet(topology=estate, vms=VMS) as fleet:
+    with Fleet(topology=topology, vms=VMS) as fleet:
         fleet.wait_serving()
         for condition in CONDITIONS:
             prepare(fleet, condition)
@@ -330,7 +334,7 @@
 
 
 def print_score(score: Score) -> None:
-    """Print one line of the table."""
+    """Print a score as one line."""
     print(
         f"{score.condition:<32}{score.policy:<14}"
         f"at replicas {score.replica_share:6.1%}"
@@ -344,7 +348,7 @@
 
 
 def main() -> None:
-    """Run the measurement and write its result."""
+    """Run the measurement and write its result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--out", type=Path)
@@ -357,7 +361,7 @@
         "cores": os.cpu_count(),
         "load_average_before": round(load_before, 1),
         "load_average_after": round(os.getloadavg()[0], 1),
-        "callers": CALLERS,
+        "callers": CALLER_COUNT,
         "vms": VMS,
         "staleness_ms_of_lookups": STALENESS_MS,
         "scores": [asdict(score) for score in scores],
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,11 +1,12 @@
-"""Count needless changes of primary under faults that ask for none.
+"""Count unnecessary changes of primary under faults that require none.
 
     python bench/soak.py --seconds 120 --out bench/results/soak.json
 
-Real processes under writes. Every few seconds one of these comes: a VM is
-paused for 5 seconds, the connections to a target go silent for good while new
-ones work, a link is slow, the platform is slow, is down for 2 seconds or loses
-an answer. No target ever fails, so each change of term is a needless one.
+Runs real processes under writes. Every few seconds one of these faults occurs:
+a VM is paused for 5 seconds, the open connections to a target are silent
+permanently while new ones work, a link is slow, or the platform is slow, is
+down for 2 seconds or loses an answer. No target ever fails, so every change of
+term is unnecessary.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 from bamboospring.testing.fleet import Fleet
 from bamboospring.testing.topology import SMALL
 
-PAUSE = 5.0
+PAUSE_SECONDS = 5.0
 
 
 def main() -> None:
@@ -49,50 +50,50 @@
 
 
 def soak(args: argparse.Namespace) -> dict[str, Any]:
-    """Bring faults about until the time is over."""
-    chances = random.Random(args.seed)
+    """Inject random faults for the given time and return the counts."""
+    rng = random.Random(args.seed)
     counts: Counter[str] = Counter()
     with Fleet(
         topology=replace(SMALL, schema=SCHEMA), links=True, vms=args.vms
     ) as fleet:
         fleet.wait_serving()
         delay_links(fleet, 1)
-        before = fleet.object("group", GROUP)["value"]
+        value_before = fleet.object("group", GROUP)["value"]
         writers = Writers(fleet)
         end = time.monotonic() + args.seconds
         while time.monotonic() < end:
-            name, fault = chances.choice(faults(fleet, chances))
+            name, fault = rng.choice(faults(fleet, rng))
             counts[name] += 1
             fault()
-            time.sleep(chances.uniform(0.5, 2.0))
+            time.sleep(rng.uniform(0.5, 2.0))
         time.sleep(3)
         writers.stop()
-        after = fleet.object("group", GROUP)["value"]
-        lost = writers.rows - stored_rows(fleet)
+        value_after = fleet.object("group", GROUP)["value"]
+        lost = writers.acknowledged_rows - stored_rows(fleet)
     return {
         "seconds": args.seconds,
         "seed": args.seed,
         "faults": dict(counts),
-        "needless_changes": after["term"] - before["term"],
-        "acknowledged": len(writers.rows),
+        "needless_changes": value_after["term"] - value_before["term"],
+        "acknowledged": len(writers.acknowledged_rows),
         "acknowledged_and_lost": len(lost),
         "outcomes": writers.outcomes,
     }
 
 
 def faults(
-    fleet: Fleet, chances: random.Random
+    fleet: Fleet, rng: random.Random
 ) -> list[tuple[str, Callable[[], None]]]:
-    """Return the faults to choose from, each with its own end."""
-    vm = chances.choice(list(fleet.vms))
-    target = chances.choice(list(fleet.targets))
+    """Return the faults to choose from, each of which ends by itself."""
+    vm = rng.choice(list(fleet.vms))
+    target = rng.choice(list(fleet.targets))
 
-    def pause() -> None:
+    def pause_vm() -> None:
         fleet.freeze(vm)
-        time.sleep(PAUSE)
+        time.sleep(PAUSE_SECONDS)
         fleet.thaw(vm)
 
-    def silence() -> None:
+    def silence_connections() -> None:
         fleet.set_link_mode(f"target:{target}", "silent")
         time.sleep(1)
         fleet.set_link_mode(f"target:{target}", "delay", delay_ms=1)
@@ -107,21 +108,21 @@
         time.sleep(4)
         fleet.set_platform_faults(slow_ms=0)
 
-    def outage() -> None:
+    def stop_platform() -> None:
         fleet.set_platform_faults(outage="refuse")
         time.sleep(2)
         fleet.set_platform_faults(outage="none")
 
-    def lose() -> None:
+    def lose_answers() -> None:
         fleet.set_platform_faults(lose_answers=3, lose_kind="")
 
     return [
-        ("vm_paused", pause),
-        ("connections_silent", silence),
+        ("vm_paused", pause_vm),
+        ("connections_silent", silence_connections),
         ("link_slow", slow_link),
         ("platform_slow", slow_platform),
-        ("platform_down", outage),
-        ("answers_lost", lose),
+        ("platform_down", stop_platform),
+        ("answers_lost", lose_answers),
     ]
 
 
--- a/bench/start.py
+++ b/bench/start.py
@@ -1,7 +1,8 @@
-"""Processor time until a VM that serves sessions is loaded.
+"""Measure the processor time to load a VM that serves sessions.
 
-As a ratio to an interpreter that does nothing, the least of several runs of
-each in turn, so that another machine or a busy one gives about the same.
+The result is a ratio to the processor time of an interpreter that does
+nothing. Both are run in turn several times and the minimum of each is used, so
+that a slower or a busy machine gives about the same ratio.
 
     python bench/start.py [--repeat 15] [--site] [--plugins]
 """
@@ -31,8 +32,10 @@
         env["PYDANTIC_DISABLE_PLUGINS"] = "__all__"
     empty, loaded = float("inf"), float("inf")
     for _ in range(args.repeat):
-        empty = min(empty, _seconds(["-S", "-c", "pass"], env))
-        loaded = min(loaded, _seconds([*flags, "-c", PROGRAM], env))
+        empty = min(empty, _child_processor_seconds(["-S", "-c", "pass"], env))
+        loaded = min(
+            loaded, _child_processor_seconds([*flags, "-c", PROGRAM], env)
+        )
     print(
         json.dumps(
             {
@@ -44,7 +47,7 @@
     )
 
 
-def _seconds(args: list[str], env: dict[str, str]) -> float:
+def _child_processor_seconds(args: list[str], env: dict[str, str]) -> float:
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     subprocess.run([sys.executable, *args], check=True, env=env)
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
--- a/bench/statement_cost.py
+++ b/bench/statement_cost.py
@@ -1,11 +1,11 @@
-"""Processor time of entry and holder for each statement, as a slope.
+"""Measure the processor time of a statement at entry and holder.
 
     python bench/statement_cost.py --out bench/results/statement_cost.json
 
-Callers send at several rates through one entry that does not hold the group.
-The slope of processor time over statements is the cost of one; what is left at
-rate 0 is control. Rates take turns and are run twice, so that a busy machine
-hits all of them alike.
+Callers send at several rates through one entry that doesn't hold the group.
+The slope of processor time over statements is the cost of one statement; the
+value of the fit at rate 0 is the cost of control. The rates take turns and are
+each run twice, so that load on the machine affects all of them alike.
 """
 
 from __future__ import annotations
@@ -33,23 +33,23 @@
 """
 READ = "SELECT body FROM entries WHERE id = 1"
 WRITE = "UPDATE entries SET body = 'two' WHERE id = 1"
-# Up to what a VM gets at the size to design for, 1,833 a second of which a
-# fifth are writes: a statement costs less the more there are, since a wake-up
-# then serves several.
+# Statements per second, up to the rate of a VM at the design size: 1,833 per
+# second, a fifth of them writes. The cost of a statement falls with the rate,
+# because one wake-up of the event loop then serves several statements.
 RATES = {"read": (300, 600, 1200, 1800), "write": (100, 200, 360)}
-TURNS = 2
-SECONDS = 4.0
+ROUNDS = 2
+POINT_SECONDS = 4.0
 THREADS = 24
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def main() -> None:
-    """Measure and write the result as JSON."""
+    """Measure reads and writes and write the result as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
-    estate = dataclasses.replace(SMALL, schema=SCHEMA, slots=9)
-    with Fleet(topology=estate, vms=4) as fleet:
+    topology = dataclasses.replace(SMALL, schema=SCHEMA, slots=9)
+    with Fleet(topology=topology, vms=4) as fleet:
         fleet.wait_serving()
         result: dict[str, Any] = {
             kind: _measure(fleet, kind) for kind in RATES
@@ -65,9 +65,9 @@
     entry = fleet.not_holders(GROUP)[0]
     holders = fleet.holders(GROUP)
     points = []
-    for _ in range(TURNS):
+    for _ in range(ROUNDS):
         for rate in RATES[kind]:
-            points.append(_point(fleet, kind, rate, entry, holders))
+            points.append(_measure_point(fleet, kind, rate, entry, holders))
     rates = [point["per_s"] for point in points]
     lines = {
         role: fit(rates, [point[role] for point in points]).as_json()
@@ -88,28 +88,30 @@
     }
 
 
-def _point(
+def _measure_point(
     fleet: Fleet, kind: str, rate: float, entry: str, holders: list[str]
 ) -> dict[str, float]:
-    begun = time.perf_counter()
-    before_entry = _seconds(fleet, [entry])
-    before_holders = _seconds(fleet, holders)
-    done = _load(fleet.vms[entry].entry, kind, rate)
-    wall = time.perf_counter() - begun
+    started_at = time.perf_counter()
+    before_entry = _processor_seconds(fleet, [entry])
+    before_holders = _processor_seconds(fleet, holders)
+    done = _run_load(fleet.vms[entry].entry, kind, rate)
+    elapsed = time.perf_counter() - started_at
     return {
         "asked_per_s": rate,
-        "per_s": round(done / wall, 2),
-        "entry": round((_seconds(fleet, [entry]) - before_entry) / wall, 5),
+        "per_s": round(done / elapsed, 2),
+        "entry": round(
+            (_processor_seconds(fleet, [entry]) - before_entry) / elapsed, 5
+        ),
         "holders": round(
-            (_seconds(fleet, holders) - before_holders) / wall, 5
+            (_processor_seconds(fleet, holders) - before_holders) / elapsed, 5
         ),
     }
 
 
-def _load(entry: str, kind: str, rate: float) -> int:
-    """Send at a rate for a while from a few threads; return how many done."""
+def _run_load(entry: str, kind: str, rate: float) -> int:
+    """Send statements at a rate and return how many succeed."""
     done = [0] * THREADS
-    end = time.perf_counter() + SECONDS
+    end = time.perf_counter() + POINT_SECONDS
 
     def work(number: int) -> None:
         caller = Caller(entries=[entry])
@@ -135,13 +137,13 @@
     return sum(done)
 
 
-def _seconds(fleet: Fleet, names: list[str]) -> float:
+def _processor_seconds(fleet: Fleet, names: list[str]) -> float:
     total = 0
     for name in names:
         stat = Path(f"/proc/{fleet.process(name).pid}/stat").read_text()
         fields = stat.rsplit(")", 1)[1].split()
         total += int(fields[11]) + int(fields[12])
-    return total / TICKS
+    return total / TICKS_PER_SECOND
 
 
 if __name__ == "__main__":
--- a/bench/support.py
+++ b/bench/support.py
@@ -1,4 +1,4 @@
-"""What the benchmarks share: fleets, direct calls, results as JSON."""
+"""Shared helpers of the benchmarks: fleets, load and result files."""
 
 from __future__ import annotations
 
@@ -27,17 +27,19 @@
 """
 READ = "SELECT body FROM entries WHERE id = 1"
 WRITE = "UPDATE entries SET body = 'two' WHERE id = 1"
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
-def estate(**changes: Any) -> Topology:
-    """Return one group of three members with a small table."""
+def make_topology(**changes: Any) -> Topology:
+    """Return a topology of one group of three targets with a small table."""
     return dataclasses.replace(SMALL, schema=SCHEMA, **changes)
 
 
 def start(vms: int = 3, settings: Any = None, **changes: Any) -> Fleet:
     """Start a fleet and wait until it serves."""
-    fleet = Fleet(topology=estate(**changes), vms=vms, settings=settings)
+    fleet = Fleet(
+        topology=make_topology(**changes), vms=vms, settings=settings
+    )
     fleet.start()
     fleet.wait_serving()
     return fleet
@@ -46,21 +48,24 @@
 def processor_seconds(pid: int) -> float:
     """Return the processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def memory_kb(pid: int) -> dict[str, int]:
     """Return a process's resident and anonymous memory in KB."""
-    found = {}
+    sizes = {}
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         name, _, value = line.partition(":")
         if name in ("VmRSS", "RssAnon"):
-            found[name] = int(value.split()[0])
-    return found
+            sizes[name] = int(value.split()[0])
+    return sizes
 
 
 def start_load(**options: Any) -> Callable[[], dict[str, Any]]:
-    """Start the load tool as a process; call the result to wait for it."""
+    """Start the load tool as a process and return a function to wait for it.
+
+    The function returns the summary of the load.
+    """
     code = (
         "import json, sys\n"
         "from bamboospring import load\n"
@@ -82,12 +87,12 @@
 
 
 def run_load(**options: Any) -> dict[str, Any]:
-    """Run the load tool in a process of its own."""
+    """Run the load tool in a separate process and return its summary."""
     return start_load(**options)()
 
 
 def write(name: str, result: dict[str, Any]) -> None:
-    """Write a result with what is needed to read it."""
+    """Write a result file that also describes the machine and its load."""
     result = {
         "python": platform.python_version(),
         "cores": os.cpu_count(),
@@ -101,16 +106,16 @@
     print(f"wrote {path.name}")
 
 
-def in_threads(works: list[Callable[[], Any]]) -> list[Any]:
-    """Run all at the same time and return their results in order."""
-    results: list[Any] = [None] * len(works)
+def in_threads(calls: list[Callable[[], Any]]) -> list[Any]:
+    """Run all calls concurrently and return their results in order."""
+    results: list[Any] = [None] * len(calls)
 
-    def run(place: int) -> None:
-        results[place] = works[place]()
+    def run(index: int) -> None:
+        results[index] = calls[index]()
 
     threads = [
-        threading.Thread(target=run, args=(place,))
-        for place in range(len(works))
+        threading.Thread(target=run, args=(index,))
+        for index in range(len(calls))
     ]
     for thread in threads:
         thread.start()
--- a/bench/timers.py
+++ b/bench/timers.py
@@ -1,7 +1,7 @@
-"""Cost of timers that are cancelled long before they are due.
+"""Measure the cost of timers that are cancelled long before they are due.
 
-Each statement sets some, with its deadline, and nearly all are cancelled by
-the answer a few milliseconds later.
+Each statement starts several timers with its deadline. Nearly all are
+cancelled when the answer arrives a few milliseconds later.
 
     python bench/timers.py
 """
@@ -18,25 +18,25 @@
 
 from bamboospring.reactor import Reactor
 
-COUNT = 400_000
-DEADLINE = 60.0
+TIMER_COUNT = 400_000
+TIMER_DELAY_SECONDS = 60.0
 IN_FLIGHT = 100
 
 
 def main() -> None:
     reactor = Reactor()
     before = support.memory_kb(os.getpid())["RssAnon"]
-    waiting: list[Any] = []
-    began = time.process_time()
-    for _ in range(COUNT):
-        waiting.append(reactor.call_later(DEADLINE, lambda: None))
-        if len(waiting) > IN_FLIGHT:
-            waiting.pop(0).cancel()
-    taken = time.process_time() - began
+    pending: list[Any] = []
+    started_at = time.process_time()
+    for _ in range(TIMER_COUNT):
+        pending.append(reactor.call_later(TIMER_DELAY_SECONDS, lambda: None))
+        if len(pending) > IN_FLIGHT:
+            pending.pop(0).cancel()
+    processor_seconds = time.process_time() - started_at
     after = support.memory_kb(os.getpid())["RssAnon"]
     result = {
-        "timers": COUNT,
-        "us_each": round(taken / COUNT * 1e6, 2),
+        "timers": TIMER_COUNT,
+        "us_each": round(processor_seconds / TIMER_COUNT * 1e6, 2),
         "kb_more": after - before,
         "peak_kb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
     }
--- a/bench/unbounded_serve.py
+++ b/bench/unbounded_serve.py
@@ -1,7 +1,7 @@
-"""`serve` without admission, as the baseline of bench/overload.py.
+"""Run `serve` without admission, as the baseline of bench/overload.py.
 
-Every statement waits in order of arrival until its deadline; nothing is
-refused by estimate or by caller, and retries have no budget.
+Statements wait in order of arrival until their deadline. None is refused
+because of the estimated wait or its caller, and retries have no budget.
 """
 
 import sys
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Serve with the settings named after `serve --settings`."""
+    """Serve with the settings file given after `serve --settings`."""
     sys.exit(cli.serve(sys.argv[3]))
 
 
