--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -776,14 +776,18 @@
 
 def held_runs(runs: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """Return the runs to fit over held groups, if enough of them differ."""
-    found = [
+    ordinary_runs = [
         run
         for run in runs
         if not run["watcher"]
         and not run.get("steward")
         and run["vms"] >= LARGE_FLEET_VMS
     ]
-    return found if len({run["held_groups"] for run in found}) > 2 else []
+    return (
+        ordinary_runs
+        if len({run["held_groups"] for run in ordinary_runs}) > 2
+        else []
+    )
 
 
 def fit_held_groups(
--- a/bench/control.py
+++ b/bench/control.py
@@ -277,14 +277,15 @@
             if self._measured_vm in choose_neighbours(vm.name, self._vms)
         ]
         self._writer = writer
-        jobs = [self._discard_messages(reader)]
-        jobs += [self._send_heartbeats(writer, name) for name in callers]
+        coroutines = [self._discard_messages(reader)]
+        coroutines += [self._send_heartbeats(writer, name) for name in callers]
         if self._case.watcher:
-            askers = self._vms[:: len(choose_platform_watchers(self._vms))]
-            jobs += [
-                self._send_group_questions(writer, vm.name) for vm in askers
+            asking_vms = self._vms[:: len(choose_platform_watchers(self._vms))]
+            coroutines += [
+                self._send_group_questions(writer, vm.name)
+                for vm in asking_vms
             ]
-        await asyncio.gather(*jobs)
+        await asyncio.gather(*coroutines)
 
     async def announce_edit(
         self, shard: int, version: int, value: Any
@@ -302,7 +303,9 @@
             return
         announcement = schema.Envelope.new_message()
         self._fill_heartbeat(
-            announcement.init("heartbeat"), self._vms[0].name, whole=True
+            announcement.init("heartbeat"),
+            self._vms[0].name,
+            include_shards=True,
         )
         self._write(self._writer, announcement)
         await asyncio.sleep(TABLE_REQUEST_DELAY_SECONDS)
@@ -324,10 +327,12 @@
         while True:
             message = schema.Envelope.new_message()
             message.id = 1
-            self._fill_heartbeat(message.init("heartbeat"), name, whole=False)
+            self._fill_heartbeat(
+                message.init("heartbeat"), name, include_shards=False
+            )
             self._write(writer, message)
-            part = self._random.uniform(0.75, 1.25)
-            await asyncio.sleep(part * HEARTBEAT_INTERVAL_SECONDS)
+            jitter = self._random.uniform(0.75, 1.25)
+            await asyncio.sleep(jitter * HEARTBEAT_INTERVAL_SECONDS)
 
     async def _send_group_questions(
         self, writer: asyncio.StreamWriter, name: str
@@ -382,7 +387,9 @@
                     self._versions = (beat.vmsRevision, list(beat.shards))
                 out = answer.init("heartbeatAck")
                 self._fill_heartbeat(
-                    out, name, whole=beat.digest != self._current_digest()
+                    out,
+                    name,
+                    include_shards=beat.digest != self._current_digest(),
                 )
             case "groupFact" if message.id == 0:
                 return
@@ -426,11 +433,13 @@
             body["names"] = list(self._records)
         return json.dumps(body).encode()
 
-    def _fill_heartbeat(self, out: Any, name: str, *, whole: bool) -> None:
+    def _fill_heartbeat(
+        self, out: Any, name: str, *, include_shards: bool
+    ) -> None:
         out.vm = name
         out.vmsRevision, shards = self._versions
         out.digest = self._current_digest()
-        if whole:
+        if include_shards:
             out.shards = shards
 
     def _current_digest(self) -> int:
@@ -602,20 +611,20 @@
         held: Counter[str] = Counter()
         for name in self._names:
             held.update(vm.name for vm in placement.holders(name))
-        typical = 3 * len(self._names) / len(vms)
-        wanted = self._case.wanted_groups or typical
+        mean_held = 3 * len(self._names) / len(vms)
+        wanted_held = self._case.wanted_groups or mean_held
         candidates = {
             vm.name
             for bucket in range(BUCKET_COUNT)
             for vm in placement.candidates(bucket)
         }
-        fitting = [
-            (abs(held[vm.name] - wanted), place)
+        eligible = [
+            (abs(held[vm.name] - wanted_held), place)
             for place, vm in enumerate(vms)
             if (vm in watchers) == self._case.watcher
             and (vm.name in candidates) >= self._case.steward
         ] or [(0.0, 0)]
-        return min(fitting)[1]
+        return min(eligible)[1]
 
     async def _populate_platform(
         self, platform: str, vms: list[Vm], records: dict[str, Any]
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -200,9 +200,11 @@
         what="a write at a later term",
     )
     time.sleep(0.3)
-    done = list(writers.acknowledgements)
-    last_old_at = max(at for at, t in done if t == term)
-    first_new_at, new_term = min((at, t) for at, t in done if t > term)
+    acknowledgements = list(writers.acknowledgements)
+    last_old_at = max(at for at, t in acknowledgements if t == term)
+    first_new_at, new_term = min(
+        (at, t) for at, t in acknowledgements if t > term
+    )
     steps = logged_steps(fleet, new_term, failed_at, first_new_at)
     fault.heal(fleet, primary)
     wait_until(
--- a/bench/movement.py
+++ b/bench/movement.py
@@ -64,7 +64,7 @@
     return sum(len(names & held) for held in holders.values())
 
 
-def remove_vms(
+def count_moves_on_removal(
     before: Holders,
     vms: list[Vm],
     removed: Collection[Vm],
@@ -83,13 +83,16 @@
     held = [count_held(before, [vm]) for vm in vms]
     rng = random.Random(1)
     chosen = rng.sample(vms, min(CHANGE_COUNT, len(vms)))
-    one = [remove_vms(before, vms, [vm], known_groups) for vm in chosen]
-    several = remove_vms(
+    one = [
+        count_moves_on_removal(before, vms, [vm], known_groups)
+        for vm in chosen
+    ]
+    several = count_moves_on_removal(
         before, vms, rng.sample(vms, SEVERAL_VMS), known_groups
     )
     first = vms[0].region, vms[0].availability_zone
     zone = [vm for vm in vms if (vm.region, vm.availability_zone) == first]
-    zone_lost = remove_vms(before, vms, zone, known_groups)
+    zone_lost = count_moves_on_removal(before, vms, zone, known_groups)
     places = len(GROUPS) * HOLDERS_PER_GROUP
     return {
         "groups_per_vm_mean": statistics.mean(held),
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -133,7 +133,7 @@
 
 
 def _edit_hops(vms: list[Vm]) -> dict[str, Any]:
-    """Return the hops of an edit from the platform watchers to each VM."""
+    """Return the mean and the maximum of hops from the platform watchers."""
     graph = _neighbour_graph(vms)
     reached = {vm.name: 0 for vm in choose_platform_watchers(vms)}
     frontier: Iterable[str] = list(reached)
@@ -161,8 +161,8 @@
     before = _holders(vms, known_groups)
     shares = []
     for removed in range(0, VMS, VMS // REMOVED_VM_COUNT):
-        rest = [vm for vm in vms if vm.name != f"vm-{removed}"]
-        after = _holders(rest, known_groups)
+        remaining_vms = [vm for vm in vms if vm.name != f"vm-{removed}"]
+        after = _holders(remaining_vms, known_groups)
         moved = sum(len(after[group] - before[group]) for group in before)
         shares.append(moved / (GROUPS * HOLDERS_PER_GROUP))
     return {
--- a/bench/replica_share.py
+++ b/bench/replica_share.py
@@ -152,12 +152,12 @@
         )
         self._direct: DirectReader | None = None
         if policy == "random":
-            living = [
+            addresses = [
                 fleet.targets[name].listen
                 for name in fleet.replicas(GROUP)
                 if name not in STOPPED_REPLICAS
             ]
-            self._direct = DirectReader(living)
+            self._direct = DirectReader(addresses)
 
     def run(self, begin: float, end: float) -> None:
         """Work until `end` and count operations from `begin` on."""
@@ -222,8 +222,8 @@
                 self.score.not_done += 1
                 return None, False
             rows, at_replica = answer.rows, answer.at_replica
-        micros = int((time.monotonic() - started_at) * 1e6)
-        self.latency.record_value(max(1, micros))
+        latency_us = int((time.monotonic() - started_at) * 1e6)
+        self.latency.record_value(max(1, latency_us))
         self.score.reads += 1
         self.score.at_replicas += at_replica
         return rows, at_replica
