--- a/bamboospring/explain.py
+++ b/bamboospring/explain.py
@@ -21,9 +21,9 @@
     "Event",
     "describe_cause",
     "read_events",
-    "story_of_catalog",
-    "story_of_group",
-    "story_of_request",
+    "describe_catalog",
+    "describe_group",
+    "describe_request",
 ]
 
 _FIELD_PATTERN = re.compile(r'([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
@@ -111,7 +111,7 @@
         return value
 
 
-def story_of_request(events: Sequence[Event], trace: str) -> list[str]:
+def describe_request(events: Sequence[Event], trace: str) -> list[str]:
     """Return the events of a request and their causes as lines of text."""
     matching = [e for e in events if e.fields.get("trace") == trace]
     if not matching:
@@ -235,7 +235,7 @@
     return f"{text} (sent to {targets}{age})"
 
 
-def story_of_group(events: Sequence[Event], group: str) -> list[str]:
+def describe_group(events: Sequence[Event], group: str) -> list[str]:
     """Return all changes of a group's primary and its records."""
     of_group = [
         e
@@ -258,7 +258,7 @@
     return event.time, event.line_index
 
 
-def story_of_catalog(events: Sequence[Event], version: str) -> list[str]:
+def describe_catalog(events: Sequence[Event], version: str) -> list[str]:
     """Return when each VM put a version of the configuration in force."""
     found = [
         e
--- a/bamboospring/fleet_commands.py
+++ b/bamboospring/fleet_commands.py
@@ -18,7 +18,7 @@
 from bamboospring.errors import BamboospringError
 from bamboospring.fleet_report import FleetSummary
 from bamboospring.fleet_report import GroupSummary
-from bamboospring.fleet_report import summarise
+from bamboospring.fleet_report import summarize_fleet
 from bamboospring.fleet_report import VmSummary
 from bamboospring.operator_client import OperatorClient
 from bamboospring.operator_client import Unreachable
@@ -49,7 +49,7 @@
     Exits with 0 if nothing needs attention, with 1 if something does.
     """
     data = _call_vm(vm, token, authority, "GET", "/fleet.json")
-    fleet = summarise(data)
+    fleet = summarize_fleet(data)
     if as_json:
         typer.echo(json.dumps(data, indent=2))
     else:
--- a/bamboospring/fleet_report.py
+++ b/bamboospring/fleet_report.py
@@ -16,7 +16,7 @@
     "GroupSummary",
     "LimitUsage",
     "VmSummary",
-    "summarise",
+    "summarize_fleet",
 ]
 
 # Holders get an answer from each live target at least once a second.
@@ -90,7 +90,7 @@
         )
 
 
-def summarise(data: Mapping[str, Any]) -> FleetSummary:
+def summarize_fleet(data: Mapping[str, Any]) -> FleetSummary:
     """Return the summary of the data of `/fleet.json`."""
     statuses: Sequence[Mapping[str, Any]] = data["vms"]
     newest = _newest_shards(statuses)
--- a/bamboospring/logs.py
+++ b/bamboospring/logs.py
@@ -28,16 +28,16 @@
 import eliot
 
 __all__ = [
-    "Bounds",
+    "LineRateLimiter",
     "Level",
-    "LineSink",
+    "NonBlockingLineWriter",
     "configure",
     "configure_node",
-    "enabled",
+    "is_enabled",
     "flush",
-    "left_out",
+    "dropped_lines",
     "log_event",
-    "wanted",
+    "should_log",
 ]
 
 
@@ -79,7 +79,7 @@
     eliot.add_destinations(_destination)
 
 
-def enabled(level: Level) -> bool:
+def is_enabled(level: Level) -> bool:
     """Return whether events of this level are written."""
     return level >= _threshold
 
@@ -88,11 +88,11 @@
     """Log to standard output without blocking, with a bounded buffer."""
     global _output
     if _output is None:
-        _output = LineSink(fd=sys.stdout.fileno())
+        _output = NonBlockingLineWriter(fd=sys.stdout.fileno())
     configure(level=level, write=_output.write, vm=vm)
 
 
-def wanted(name: str, level: Level) -> bool:
+def should_log(name: str, level: Level) -> bool:
     """Return whether one more event of a name is within the rate limit.
 
     Under load there are thousands of events of a name per second. Events
@@ -104,7 +104,7 @@
     return _rate_limiter.allow(name, level, time.monotonic())
 
 
-def left_out() -> int:
+def dropped_lines() -> int:
     """Return how many lines were left out since the start."""
     dropped = _output.dropped if _output is not None else 0
     return _rate_limiter.total + dropped
@@ -116,7 +116,7 @@
         _output.flush()
 
 
-class Bounds:
+class LineRateLimiter:
     """Limits the lines of each event name per second."""
 
     # Lines per second of one name. A few lines below WARNING are enough to see
@@ -152,7 +152,7 @@
                 log_event("left_out", of=name, bad=bad, lines=excess)
 
 
-class LineSink:
+class NonBlockingLineWriter:
     """Writes lines to a file descriptor without blocking.
 
     If the reader stops, the pipe fills up, and a blocking write would delay
@@ -194,8 +194,8 @@
             del self._buffer[:sent]
 
 
-_rate_limiter = Bounds()
-_output: LineSink | None = None
+_rate_limiter = LineRateLimiter()
+_output: NonBlockingLineWriter | None = None
 
 
 def log_event(
--- a/bamboospring/metrics.py
+++ b/bamboospring/metrics.py
@@ -31,7 +31,7 @@
 
 __all__ = [
     "BOUNDS",
-    "CALLERS_FAULTS",
+    "CALLER_ERROR_REASONS",
     "Distribution",
     "GroupCounts",
     "Kind",
@@ -49,7 +49,7 @@
 MIN_GAP_SECONDS = 0.25
 
 # Reasons for which the caller's request is at fault, not the service.
-CALLERS_FAULTS = frozenset(
+CALLER_ERROR_REASONS = frozenset(
     {
         Reason.BAD_REQUEST,
         Reason.BAD_TOKEN,
@@ -163,18 +163,18 @@
     def __init__(
         self,
         *,
-        knows: Callable[[str], bool],
-        slow_after: Callable[[str], float],
+        is_known_group: Callable[[str], bool],
+        slow_threshold: Callable[[str], float],
     ) -> None:
-        self._is_known_group = knows
-        self._slow_threshold = slow_after
+        self._is_known_group = is_known_group
+        self._slow_threshold = slow_threshold
         self._slow_thresholds: dict[str, float] = {}
         self._registered: list[_RegisteredMetric] = []
         self.groups: dict[str, GroupCounts] = {}
         self.read_durations = Distribution()
         self.write_durations = Distribution()
 
-    def answered(
+    def record_answer(
         self, stmt: Statement, outcome: Outcome, seconds: float, now: float
     ) -> None:
         """Count a statement answered at `now` (monotonic) after `seconds`."""
@@ -187,7 +187,10 @@
             if stmt.write:
                 _record_write_completed(counts, now - seconds, now)
             return
-        if isinstance(outcome, Failed) or outcome.reason in CALLERS_FAULTS:
+        if (
+            isinstance(outcome, Failed)
+            or outcome.reason in CALLER_ERROR_REASONS
+        ):
             counts.callers_faults += 1
             return
         cause = f"{_OUTCOME_NAMES[type(outcome)]}.{outcome.reason.value}"
@@ -195,7 +198,7 @@
         if stmt.write and counts.stalled_since is None:
             counts.stalled_since = now - seconds
 
-    def watch(
+    def register(
         self,
         name: str,
         read: ReadValue,
@@ -221,9 +224,9 @@
         """Return all metrics with their current values."""
         yield self._duration_series()
         yield from self._group_series()
-        yield from self.sources()
+        yield from self.registered_series()
 
-    def sources(self) -> Iterator[Series]:
+    def registered_series(self) -> Iterator[Series]:
         """Return the registered metrics, without the counts of statements."""
         for metric in self._registered:
             yield Series(
--- a/bamboospring/operators.py
+++ b/bamboospring/operators.py
@@ -35,10 +35,10 @@
 from bamboospring.metrics import Metrics
 from bamboospring.metrics_export import Exporter
 from bamboospring.reactor import Reactor
+from bamboospring.status_view import not_ready_reasons
 from bamboospring.status_view import StatusView
-from bamboospring.status_view import unreadiness
 
-__all__ = ["Operators"]
+__all__ = ["OperatorListener"]
 
 PUBLIC_PATHS = frozenset({"/healthz", "/readyz"})
 JSON_TYPE = "application/json"
@@ -52,7 +52,7 @@
 HandOver = Callable[[str, str], None]
 
 
-class Operators:
+class OperatorListener:
     """HTTP listener for operators and the metrics scraper.
 
     `token` is called for each request, so that the token can change while the
@@ -142,7 +142,7 @@
         return hmac.compare_digest(token.encode(), self._token().encode())
 
     def _readiness(self) -> Response:
-        reasons = unreadiness(self._board)
+        reasons = not_ready_reasons(self._board)
         return _json_response(
             {"ready": not reasons, "reasons": reasons},
             HTTPStatus.SERVICE_UNAVAILABLE if reasons else HTTPStatus.OK,
--- a/bamboospring/process.py
+++ b/bamboospring/process.py
@@ -20,7 +20,7 @@
 from bamboospring.metrics import Metrics
 from bamboospring.operators import HandleTable
 from bamboospring.operators import HandOver
-from bamboospring.operators import Operators
+from bamboospring.operators import OperatorListener
 from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.reactor import Reactor
@@ -30,8 +30,8 @@
 from bamboospring.settings import load
 from bamboospring.settings import Settings
 from bamboospring.settings import Tls
+from bamboospring.status_view import not_ready_reasons
 from bamboospring.status_view import StatusView
-from bamboospring.status_view import unreadiness
 from bamboospring.tls import Keys
 from bamboospring.tls import secured
 from bamboospring.tokens import SigningKey
@@ -46,7 +46,7 @@
     """A process that listens for callers, peers and operators."""
 
     entry: Entry
-    operators: Operators
+    operators: OperatorListener
 
     def __init__(self, cfg: Settings, path: str = "") -> None:
         super().__init__()
@@ -72,7 +72,8 @@
         )
         self.membership = Membership()
         self.metrics = Metrics(
-            knows=self.board.knows_group, slow_after=self._slow_after
+            is_known_group=self.board.knows_group,
+            slow_threshold=self._slow_after,
         )
         self.codec = TokenCodec(keys=_token_keys(cfg))
 
@@ -94,7 +95,7 @@
                 timeout=cfg.timing.request_timeout_ms / 1000,
             ),
             budget=RetryBudget(percent=cfg.limits.retry_percent),
-            on_answered=self.metrics.answered,
+            on_answered=self.metrics.record_answer,
         ).register(self)
 
     @handler("started")
@@ -105,7 +106,7 @@
         """Listen on the callers' address once this process can serve them."""
         if self.board.draining:
             return
-        if unreadiness(self.board):
+        if not_ready_reasons(self.board):
             self.reactor.call_later(
                 READY_CHECK_INTERVAL, self._open_when_ready
             )
@@ -130,9 +131,9 @@
         status: StatusView,
         handle_table: HandleTable,
         hand_over: HandOver,
-    ) -> Operators:
+    ) -> OperatorListener:
         tls = self.cfg.operators.tls
-        return Operators(
+        return OperatorListener(
             reactor=self._secured(tls, lambda s: s.operators.tls),
             address=self.cfg.operators.listen,
             token=lambda: self.cfg.operators.token,
--- a/bamboospring/server.py
+++ b/bamboospring/server.py
@@ -31,7 +31,7 @@
 from bamboospring.steward import Steward
 from bamboospring.suspicion import FailureTiming
 from bamboospring.table_editor import TableEditor
-from bamboospring.table_pages import make_reach
+from bamboospring.table_pages import make_target_prober
 from bamboospring.table_pages import TablePages
 from bamboospring.target_watcher import TargetWatcher
 
@@ -132,7 +132,7 @@
             editor=TableEditor(
                 reactor=self.reactor,
                 platform=self.platform,
-                reach=make_reach(to_targets),
+                probe_targets=make_target_prober(to_targets),
                 on_stored=self.facts.store.apply_shard_value,
             ),
         )
--- a/bamboospring/server_metrics.py
+++ b/bamboospring/server_metrics.py
@@ -19,31 +19,31 @@
 def add_process_metrics(server: Process) -> None:
     """Add the metrics of every process of a VM."""
     metrics = server.metrics
-    metrics.watch(
+    metrics.register(
         "process.cpu.time",
         time.process_time,
         kind=Kind.COUNTER,
         unit="s",
         description="Processor time used.",
     )
-    metrics.watch(
+    metrics.register(
         "process.memory.usage",
         resident_bytes,
         unit="By",
         description="Resident memory.",
     )
-    metrics.watch(
+    metrics.register(
         "process.context_switches",
         lambda: resource.getrusage(resource.RUSAGE_SELF).ru_nivcsw,
         kind=Kind.COUNTER,
         description="Times the processor was taken away.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.caller.connections",
         lambda: len(server.entry.server.connections),
         description="Connections from callers.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.peer.io",
         lambda: {
             "transmit": server.peers.sent_bytes,
@@ -60,12 +60,12 @@
 def add_main_metrics(server: Server) -> None:
     """Add the metrics of a VM's main process."""
     metrics = server.metrics
-    metrics.watch(
+    metrics.register(
         "bamboospring.statements.running",
         lambda: server.holder.in_flight_count,
         description="Statements running here as a holder.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.processes",
         lambda: len(server.entry_processes.live_addresses()),
         description="Entry-only processes beside this one.",
@@ -76,7 +76,7 @@
 
 def _watch_pools(server: Server) -> None:
     metrics = server.metrics
-    metrics.watch(
+    metrics.register(
         "bamboospring.target.connections",
         lambda: {
             "used": sum(p.used.connections for p in server.pools.all()),
@@ -85,7 +85,7 @@
         label="state",
         description="Connections to targets in use, and this VM's share.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.target.slots",
         lambda: {
             "used": sum(p.used.slots for p in server.pools.all()),
@@ -94,7 +94,7 @@
         label="state",
         description="Statements running at targets, and this VM's share.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.statements.waiting",
         lambda: sum(pool.waiting for pool in server.pools.all()),
         description="Statements that wait for a slot at a target.",
@@ -104,7 +104,7 @@
 def _watch_control(server: Server) -> None:
     metrics = server.metrics
     board = server.board
-    metrics.watch(
+    metrics.register(
         "bamboospring.platform.calls",
         lambda: {
             purpose: counts.calls
@@ -114,7 +114,7 @@
         label="purpose",
         description="Calls to the platform, by purpose.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.platform.failures",
         lambda: {
             purpose: counts.failed
@@ -124,7 +124,7 @@
         label="purpose",
         description="Calls to the platform without a usable answer.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.leases",
         lambda: sum(
             lease.valid_until > server.reactor.now()
@@ -137,12 +137,12 @@
 def _watch_facts(server: Process) -> None:
     metrics = server.metrics
     board = server.board
-    metrics.watch(
+    metrics.register(
         "bamboospring.vms",
         lambda: len(board.vms),
         description="VMs in the list in force.",
     )
-    metrics.watch(
+    metrics.register(
         "bamboospring.table.version",
         lambda: {
             str(shard): each.version for shard, each in board.table.items()
--- a/bamboospring/sessions/session_metrics.py
+++ b/bamboospring/sessions/session_metrics.py
@@ -50,7 +50,7 @@
     def __init__(self, *, board: SessionBoard) -> None:
         self._board = board
         self._metrics = Metrics(
-            knows=lambda group: True, slow_after=lambda group: 1.0
+            is_known_group=lambda group: True, slow_threshold=lambda group: 1.0
         )
         self._exporter: Exporter | None = None
         self._durations: dict[str, Distribution] = {}
@@ -104,7 +104,7 @@
         now: Callable[[], float],
     ) -> None:
         """Add metrics of the node's components."""
-        watch = self._metrics.watch
+        watch = self._metrics.register
         watch(
             "process.cpu.time",
             time.process_time,
@@ -184,7 +184,7 @@
         )
         watch(
             "bamboospring.logs.left_out",
-            logs.left_out,
+            logs.dropped_lines,
             kind=Kind.COUNTER,
             description="Log lines left out to keep within bounds.",
         )
@@ -210,7 +210,7 @@
         return self._exporter.text(self._series())
 
     def _series(self) -> Iterator[Series]:
-        yield from self._metrics.sources()
+        yield from self._metrics.registered_series()
         yield _histogram(
             "db.client.operation.duration",
             "Time from a caller's request to its answer.",
--- a/bamboospring/sessions/statement_trace.py
+++ b/bamboospring/sessions/statement_trace.py
@@ -80,7 +80,7 @@
         self._on_outcome(trace, outcome, elapsed)
         is_failure = not isinstance(outcome, (Served, AcknowledgedLocally))
         level = logs.Level.WARNING if is_failure else logs.Level.INFO
-        if not logs.wanted("answered", level):
+        if not logs.should_log("answered", level):
             return
         waited = (trace.first_sent_at or now) - trace.job.received_at
         job = trace.job
--- a/bamboospring/statement_log.py
+++ b/bamboospring/statement_log.py
@@ -21,7 +21,7 @@
     """Log an outcome with its details or reason."""
     unknown = isinstance(outcome, Unknown)
     level = logs.Level.INFO if unknown else logs.Level.DEBUG
-    if not logs.enabled(level):
+    if not logs.is_enabled(level):
         return
     logs.log_event(
         event,
--- a/bamboospring/status_html.py
+++ b/bamboospring/status_html.py
@@ -9,7 +9,7 @@
 
 from bamboospring.fleet_report import FleetSummary
 from bamboospring.fleet_report import GroupSummary
-from bamboospring.fleet_report import summarise
+from bamboospring.fleet_report import summarize_fleet
 from bamboospring.fleet_report import VmSummary
 
 __all__ = ["render_page"]
@@ -29,7 +29,7 @@
 
 def render_page(data: Mapping[str, Any]) -> str:
     """Return the page for the data of `/fleet.json`."""
-    fleet = summarise(data)
+    fleet = summarize_fleet(data)
     summary = (
         '<p class="good">Nothing needs attention.</p>'
         if fleet.is_healthy
--- a/bamboospring/status_view.py
+++ b/bamboospring/status_view.py
@@ -20,7 +20,7 @@
 from bamboospring.rendezvous import bucket_of
 from bamboospring.rendezvous import Placement
 
-__all__ = ["StatusView", "resident_bytes", "unreadiness"]
+__all__ = ["StatusView", "resident_bytes", "not_ready_reasons"]
 
 # Times at or below this were never set; unset times are -1e9.
 NEVER_THRESHOLD = -1e8
@@ -75,7 +75,7 @@
             "version": __version__,
             "started_at": round(self._started_at, 3),
             "at": round(time.time(), 3),
-            "ready": not unreadiness(board),
+            "ready": not not_ready_reasons(board),
             "draining": board.draining,
             "vms_seen": len(board.vms),
             "vms_revision": board.vms_revision,
@@ -167,7 +167,7 @@
         }
 
 
-def unreadiness(board: Blackboard) -> list[str]:
+def not_ready_reasons(board: Blackboard) -> list[str]:
     """Return why this VM is not ready for callers; empty if it is ready."""
     reasons = []
     if board.draining:
--- a/bamboospring/table_editor.py
+++ b/bamboospring/table_editor.py
@@ -126,12 +126,12 @@
         *,
         reactor: Reactor,
         platform: PlatformClient,
-        reach: ProbeTargets,
+        probe_targets: ProbeTargets,
         on_stored: OnStored,
     ) -> None:
         self.reactor = reactor
         self.platform = platform
-        self.reach = reach
+        self.probe_targets = probe_targets
         self.on_stored = on_stored
 
     def submit(self, request: EditRequest, on_report: OnReport) -> None:
@@ -340,7 +340,7 @@
             self._unreachable = {addresses[address] for address in silent}
             self._after_probe()
 
-        self._editor.reach(sorted(addresses), on_probed)
+        self._editor.probe_targets(sorted(addresses), on_probed)
 
     def _after_probe(self) -> None:
         errors = [
--- a/bamboospring/table_pages.py
+++ b/bamboospring/table_pages.py
@@ -50,7 +50,7 @@
 from bamboospring.table_editor import TableEditor
 from bamboospring.table_editor import Verdict
 
-__all__ = ["TablePages", "make_reach", "report_as_json"]
+__all__ = ["TablePages", "make_target_prober", "report_as_json"]
 
 PATH_PREFIX = "/table"
 PROBE_TIMEOUT = 1.0
@@ -223,7 +223,7 @@
         self._platform.list("table", "edit", answered)
 
 
-def make_reach(
+def make_target_prober(
     reactor: Reactor,
 ) -> Callable[[Sequence[str], Callable[[set[str]], None]], None]:
     """Return a function that finds which targets do not answer a probe."""
--- a/bench/metrics_cost.py
+++ b/bench/metrics_cost.py
@@ -34,7 +34,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
-    metrics = Metrics(knows=lambda _: True, slow_after=lambda _: 0.1)
+    metrics = Metrics(
+        is_known_group=lambda _: True, slow_threshold=lambda _: 0.1
+    )
     result = {
         "rounds": ROUNDS,
         "calls": CALLS_PER_ROUND,
@@ -79,7 +81,7 @@
 def _plain_recorder(metrics: Metrics) -> Callable[[], None]:
     stmt = _statement("group-1")
     outcome = Done(term=1, index=1, target="t", at_replica=True)
-    return lambda: metrics.answered(stmt, outcome, 0.004, 1.0)
+    return lambda: metrics.record_answer(stmt, outcome, 0.004, 1.0)
 
 
 def _sdk_recorder() -> Callable[[], None]:
@@ -97,7 +99,7 @@
     outcome = Done(term=1, index=1, target="t", at_replica=True)
     for number in range(GROUPS):
         stmt = _statement(f"database-group-{number}")
-        metrics.answered(stmt, outcome, 0.004, 1.0)
+        metrics.record_answer(stmt, outcome, 0.004, 1.0)
     exporter = Exporter(vm="vm-1", availability_zone="zone-a")
     exporter.text(metrics.series())
     started_at = time.perf_counter()
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -12,12 +12,12 @@
 from behave import then
 from behave import when
 import configuration_properties
+from configuration_support import BackgroundLoad
 from configuration_support import GROUP
-from configuration_support import Load
 from configuration_support import Operator
 from configuration_support import run_table_command
 from configuration_support import same_shard_names
-from configuration_support import start_estate
+from configuration_support import start_fleet
 from configuration_support import TableVersionObserver
 import editor_properties
 
@@ -41,12 +41,12 @@
 
 @given("a fleet of {count:d} VMs for operators")
 def given_operators(context: Any, count: int) -> None:
-    start_estate(context, vms=count)
+    start_fleet(context, vms=count)
 
 
 @given("a fleet of {count:d} VMs whose versions in force are observed")
 def given_observed(context: Any, count: int) -> None:
-    fleet = start_estate(context, vms=count)
+    fleet = start_fleet(context, vms=count)
     context.observer = TableVersionObserver(fleet)
     context.add_cleanup(context.observer.stop)
     context.edits = []
@@ -409,8 +409,8 @@
 
 @given("a fleet of {count:d} VMs under load")
 def given_load(context: Any, count: int) -> None:
-    fleet = start_estate(context, vms=count)
-    context.load = Load(fleet=fleet).start()
+    fleet = start_fleet(context, vms=count)
+    context.load = BackgroundLoad(fleet=fleet).start()
     context.add_cleanup(context.load.stop)
 
 
--- a/features/steps/configuration_support.py
+++ b/features/steps/configuration_support.py
@@ -26,12 +26,12 @@
 __all__ = [
     "TableVersionObserver",
     "GROUP",
-    "Load",
+    "BackgroundLoad",
     "Operator",
     "SCHEMA",
     "run_table_command",
     "same_shard_names",
-    "start_estate",
+    "start_fleet",
 ]
 
 GROUP = "ledger"
@@ -42,7 +42,7 @@
 """
 
 
-def start_estate(
+def start_fleet(
     context: Any,
     *,
     vms: int,
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Load:
+class BackgroundLoad:
     """Callers that continuously read, write and run transactions.
 
     Each caller has its own session and changes its entry after every turn.
@@ -78,8 +78,8 @@
 
     fleet: Fleet
     callers: int = 4
-    pause: float = 0.02
-    hold: float = 0.0
+    pause_seconds: float = 0.02
+    hold_seconds: float = 0.0
     entries: Sequence[str] = ()
     failures: list[str] = field(default_factory=list)
     done: int = 0
@@ -88,7 +88,7 @@
     _stop: threading.Event = field(default_factory=threading.Event)
     _threads: list[threading.Thread] = field(default_factory=list)
 
-    def start(self) -> "Load":
+    def start(self) -> "BackgroundLoad":
         """Start the callers."""
         for number in range(self.callers):
             thread = threading.Thread(
@@ -111,7 +111,7 @@
             entries=entries, name=f"load-{number}", entry_index=number
         )
         for turn in itertools.count():
-            if self._stop.wait(self.pause):
+            if self._stop.wait(self.pause_seconds):
                 break
             # Closes connections to VMs that the balancer no longer lists. When
             # such a VM returns, it is another process.
@@ -119,7 +119,7 @@
             caller.roam()
             try:
                 self._run_statement(
-                    caller, turn, self.hold == 0 or number == 0
+                    caller, turn, self.hold_seconds == 0 or number == 0
                 )
             except ConnectionError as exc:
                 self.failures.append(f"connect: {exc!r}")
@@ -140,7 +140,7 @@
         begun = caller.begin(GROUP)
         if not self._record_answer("begin", begun):
             return
-        time.sleep(self.hold)
+        time.sleep(self.hold_seconds)
         handle = begun.transaction
         for sql in (
             "UPDATE balances SET amount = amount - 1 WHERE name = 'a'",
--- a/features/steps/editor_properties.py
+++ b/features/steps/editor_properties.py
@@ -154,7 +154,7 @@
         editor = TableEditor(
             reactor=self._reactor,  # type: ignore[arg-type]
             platform=self.platform,  # type: ignore[arg-type]
-            reach=self._probe_targets,
+            probe_targets=self._probe_targets,
             on_stored=lambda shard, version, value: None,
         )
         cells = {"max_slots": slots, "read_weights": {"old": 100}}
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -10,10 +10,10 @@
 from behave import given
 from behave import then
 from behave import when
+from configuration_support import BackgroundLoad
 from configuration_support import GROUP
-from configuration_support import Load
 from configuration_support import Operator
-from configuration_support import start_estate
+from configuration_support import start_fleet
 import membership_properties
 
 from bamboospring.blackboard import Liveness
@@ -78,7 +78,7 @@
 
 @given("a fleet of {count:d} VMs for membership")
 def given_fleet(context: Any, count: int) -> None:
-    start_estate(
+    start_fleet(
         context, vms=count, settings={"timing": DRAIN}, lag_ms=LIST_LAG_MS
     )
 
@@ -88,8 +88,10 @@
     given_fleet(context, count)
     balancer = Balancer(context.fleet)
     context.add_cleanup(balancer.stop)
-    context.load = Load(
-        fleet=context.fleet, entries=balancer.entries, hold=HOLD_SECONDS
+    context.load = BackgroundLoad(
+        fleet=context.fleet,
+        entries=balancer.entries,
+        hold_seconds=HOLD_SECONDS,
     ).start()
     context.add_cleanup(context.load.stop)
     time.sleep(1)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -11,10 +11,10 @@
 from behave import then
 from behave import when
 from configuration_steps import add_seeds
+from configuration_support import BackgroundLoad
 from configuration_support import GROUP
-from configuration_support import Load
 from configuration_support import Operator
-from configuration_support import start_estate
+from configuration_support import start_fleet
 from configuration_support import TableVersionObserver
 from hypothesis import given as generated
 from hypothesis import settings
@@ -42,14 +42,14 @@
 
 @given("a fleet of {count:d} VMs for the platform")
 def given_fleet(context: Any, count: int) -> None:
-    start_estate(context, vms=count)
+    start_fleet(context, vms=count)
     time.sleep(SETTLE_SECONDS)
 
 
 @given("a fleet of {count:d} VMs under load for the platform")
 def given_load(context: Any, count: int) -> None:
     given_fleet(context, count)
-    context.load = Load(fleet=context.fleet).start()
+    context.load = BackgroundLoad(fleet=context.fleet).start()
     context.add_cleanup(context.load.stop)
 
 
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -17,7 +17,7 @@
 from circuits import Event
 from configuration_support import GROUP
 from configuration_support import Operator
-from configuration_support import start_estate
+from configuration_support import start_fleet
 import orjson
 import psutil
 
@@ -116,7 +116,7 @@
 
 @given("a fleet of {count:d} VMs whose processes may share addresses")
 def given_fleet(context: Any, count: int) -> None:
-    start_estate(context, vms=count, settings=SETTINGS)
+    start_fleet(context, vms=count, settings=SETTINGS)
 
 
 @when("an entry-only process is started beside vm-1")
--- a/features/steps/session_estate_steps.py
+++ b/features/steps/session_estate_steps.py
@@ -336,7 +336,7 @@
     ]
     assert refused, len(events)
     traces = [
-        explain.story_of_request(events, each.fields["trace"])
+        explain.describe_request(events, each.fields["trace"])
         for each in refused
     ]
     text = "\n".join(traces[0])
@@ -346,7 +346,7 @@
 @then("the trace of a change names its steps in order")
 def then_change(context):
     events = explain.read_events(all_lines(context.stage))
-    text = "\n".join(explain.story_of_group(events, "group0"))
+    text = "\n".join(explain.describe_group(events, "group0"))
     places = [
         text.find(step)
         for step in ("change_begun", "promotion_ordered", "change_ended")
--- a/features/steps/session_texts_steps.py
+++ b/features/steps/session_texts_steps.py
@@ -462,7 +462,7 @@
 @given("a log whose reader has stopped")
 def given_stopped(context):
     context.reading, writing = os.pipe()
-    context.sink = logs.LineSink(fd=writing)
+    context.sink = logs.NonBlockingLineWriter(fd=writing)
     context.add_cleanup(os.close, context.reading)
     context.add_cleanup(os.close, writing)
 
@@ -491,7 +491,7 @@
     context.lines = []
     logs.configure(level="info", write=context.lines.append)
     context.add_cleanup(logs.configure)
-    bounds = context.bounds = logs.Bounds()
+    bounds = context.bounds = logs.LineRateLimiter()
     context.good = sum(
         bounds.allow("e", logs.Level.INFO, 50.1) for _ in range(good)
     )
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -15,7 +15,7 @@
 from annotated_types import Le
 from behave import given
 from behave import then
-from configuration_support import start_estate
+from configuration_support import start_fleet
 from hypothesis import given as for_all
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies
@@ -173,7 +173,7 @@
 def step_bounded(context: Any) -> None:
     bounds = {"request_head_bytes": 2048, "request_body_bytes": 3072}
     timing = {"request_timeout_ms": 500}
-    start_estate(context, vms=1, settings={"limits": bounds, "timing": timing})
+    start_fleet(context, vms=1, settings={"limits": bounds, "timing": timing})
 
 
 def _session_request(head: int, body: int) -> bytes:
