--- a/bamboospring/connection_terminator.py
+++ b/bamboospring/connection_terminator.py
@@ -13,9 +13,9 @@
 
 import orjson
 
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.reactor import Reactor
 
 __all__ = ["ConnectionTerminator"]
@@ -63,9 +63,9 @@
         # unresponsive as well.
         client = HttpClient(reactor=self._reactor, address=self._address)
 
-        def on_answer(answer: HttpAnswer | HttpLost) -> None:
+        def on_answer(answer: HttpResponse | HttpFailure) -> None:
             client.close()
-            self._on_answer(connection_ids, isinstance(answer, HttpAnswer))
+            self._on_answer(connection_ids, isinstance(answer, HttpResponse))
 
         body = orjson.dumps({"connections": connection_ids})
         client.request("POST", "/terminate", body, REQUEST_TIMEOUT, on_answer)
--- a/bamboospring/drain.py
+++ b/bamboospring/drain.py
@@ -108,7 +108,7 @@
         self._max_duration = max_duration
         self._plan: DrainPlan | None = None
         self._work: dict[str, Callable[[], int]] = {}
-        self.wait_for("callers", lambda: callers.busy)
+        self.wait_for("callers", lambda: callers.in_flight_count)
 
     def wait_for(self, name: str, count: Callable[[], int]) -> None:
         """Delay the exit until `count` returns 0."""
--- a/bamboospring/entry.py
+++ b/bamboospring/entry.py
@@ -17,9 +17,9 @@
 from bamboospring.blackboard import Blackboard
 from bamboospring.forwarding import Forwarder
 from bamboospring.forwarding import LocalHolder
-from bamboospring.http_server import Bounds
 from bamboospring.http_server import HttpServer
 from bamboospring.http_server import Request
+from bamboospring.http_server import RequestLimits
 from bamboospring.http_server import Response
 from bamboospring.membership import Membership
 from bamboospring.outcomes import Done
@@ -78,7 +78,7 @@
         membership: Membership,
         listen: str,
         reuse_port: bool = False,
-        bounds: Bounds = Bounds(),
+        request_limits: RequestLimits = RequestLimits(),
         budget: RetryBudget | None = None,
         on_answered: OnAnswered = lambda *_: None,
     ) -> None:
@@ -108,7 +108,7 @@
             address=listen,
             handler=self._handle,
             reuse_port=reuse_port,
-            bounds=bounds,
+            limits=request_limits,
         )
 
     def _handle(self, req: Request, respond: Respond) -> None:
--- a/bamboospring/exchange.py
+++ b/bamboospring/exchange.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from bamboospring.http_client import HttpAnswer
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.outcomes import Done
 from bamboospring.outcomes import Failed
 from bamboospring.outcomes import NotRun
@@ -38,7 +38,7 @@
 MAX_RESULT_BYTES = 2 * 1024 * 1024
 ANSWER_MARGIN_SECONDS = 0.1
 
-OnTargetAnswer = Callable[[TargetAnswer | HttpLost], None]
+OnTargetAnswer = Callable[[TargetAnswer | HttpFailure], None]
 
 # The reason for the caller by the reason of a target's refusal. In each case
 # nothing ran.
@@ -77,7 +77,7 @@
         that a late answer can't be taken for that of a later statement.
         """
         if timeout <= 0:
-            on_answer(HttpLost(sent=False, reason="deadline"))
+            on_answer(HttpFailure(sent=False, reason="deadline"))
             return
         request_id = next(self._request_ids)
         # The target stops waiting for a lock slightly before this process
@@ -92,8 +92,8 @@
             remaining=remaining,
         )
 
-        def handle_answer(answer: HttpAnswer | HttpLost) -> None:
-            if isinstance(answer, HttpLost):
+        def handle_answer(answer: HttpResponse | HttpFailure) -> None:
+            if isinstance(answer, HttpFailure):
                 leased.unresponsive = answer.reason == "timeout"
                 leased.conn.close()
                 on_answer(answer)
@@ -103,7 +103,7 @@
             # not known to which. It counts as a lost answer.
             if decoded is None or decoded.id != request_id:
                 leased.conn.close()
-                on_answer(HttpLost(sent=True, reason="crossed"))
+                on_answer(HttpFailure(sent=True, reason="crossed"))
                 return
             if len(answer.body) > MAX_RESULT_BYTES:
                 _refuse_result(stmt, leased, decoded, on_answer)
@@ -127,7 +127,7 @@
     """
     if stmt.write or stmt.step is not StepKind.AUTOCOMMIT:
         leased.conn.close()
-        on_answer(HttpLost(sent=True, reason="size"))
+        on_answer(HttpFailure(sent=True, reason="size"))
         return
     message = f"the result is too large: over {MAX_RESULT_BYTES} bytes"
     on_answer(replace(answer, outcome="failed", message=message, rows=[]))
--- a/bamboospring/http_client.py
+++ b/bamboospring/http_client.py
@@ -19,10 +19,10 @@
 from bamboospring.reactor import Timer
 
 __all__ = [
-    "HttpAnswer",
+    "HttpResponse",
     "HttpClient",
     "HttpConnection",
-    "HttpLost",
+    "HttpFailure",
     "TIMED_OUT",
 ]
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class HttpAnswer:
+class HttpResponse:
     """A complete response.
 
     `header` is the value of the header that the connection
@@ -41,11 +41,11 @@
 
     status: int
     body: bytes
-    header: str = ""
+    captured_header: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HttpLost:
+class HttpFailure:
     """No complete response arrived.
 
     `sent` is false only if it is certain that nothing was sent.
@@ -55,7 +55,7 @@
     reason: str
 
 
-OnComplete = Callable[[HttpAnswer | HttpLost], None]
+OnComplete = Callable[[HttpResponse | HttpFailure], None]
 
 
 class HttpConnection:
@@ -82,11 +82,11 @@
     )
 
     def __init__(
-        self, *, reactor: Reactor, address: str, kept_header: str = ""
+        self, *, reactor: Reactor, address: str, captured_header: str = ""
     ) -> None:
         self._reactor = reactor
         self._address = address
-        self._captured_name = kept_header.encode("latin-1")
+        self._captured_name = captured_header.encode("latin-1")
         self._captured_value = b""
         self._host = f" HTTP/1.1\r\nHost: {address}\r\n"
         self._stream: Stream | None = None
@@ -132,7 +132,7 @@
         path: str,
         body: bytes,
         timeout: float,
-        on_answer: OnComplete,
+        on_complete: OnComplete,
         headers: str = "",
     ) -> None:
         """Send one request on the open connection.
@@ -143,10 +143,10 @@
         next request.
         """
         if not self.usable:
-            on_answer(HttpLost(sent=False, reason="closed"))
+            on_complete(HttpFailure(sent=False, reason="closed"))
             return
         assert self._stream is not None
-        self._on_complete = on_answer
+        self._on_complete = on_complete
         spare, self._spare_parser = self._spare_parser, None
         self._parser = spare or httptools.HttpResponseParser(self)
         self._timer = self._reactor.call_later(timeout, self._on_timeout)
@@ -182,10 +182,10 @@
         parser, self._parser = self._parser, None
         if parser is None:
             return
-        answer = HttpAnswer(
+        answer = HttpResponse(
             status=parser.get_status_code(),
             body=self._take_body(),
-            header=self._captured_value.decode("latin-1"),
+            captured_header=self._captured_value.decode("latin-1"),
         )
         if not parser.should_keep_alive():
             self._complete(answer)
@@ -223,7 +223,7 @@
     def _fail(self, reason: str) -> None:
         self._parser = None
         stream = self._stream
-        self._complete(HttpLost(sent=True, reason=reason))
+        self._complete(HttpFailure(sent=True, reason=reason))
         if stream is not None:
             stream.abort()
 
@@ -231,12 +231,12 @@
         body, self._body = self._body, []
         return join_parts(body)
 
-    def _complete(self, answer: HttpAnswer | HttpLost) -> None:
+    def _complete(self, answer: HttpResponse | HttpFailure) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         on_complete, self._on_complete = self._on_complete, None
-        if isinstance(answer, HttpLost):
+        if isinstance(answer, HttpFailure):
             self._body = []
         if on_complete is not None:
             on_complete(answer)
@@ -258,11 +258,11 @@
     """A client that connects on demand and sends one request at a time."""
 
     def __init__(
-        self, *, reactor: Reactor, address: str, kept_header: str = ""
+        self, *, reactor: Reactor, address: str, captured_header: str = ""
     ) -> None:
         self._reactor = reactor
         self._address = address
-        self._captured_header = kept_header
+        self._captured_header = captured_header
         self._conn: HttpConnection | None = None
         self._queue: deque[_QueuedRequest] = deque()
         self._request_active = False
@@ -274,7 +274,7 @@
         path: str,
         body: bytes,
         timeout: float,
-        on_answer: OnComplete,
+        on_complete: OnComplete,
         headers: str = "",
     ) -> None:
         """Queue a request; see `HttpConnection.request`."""
@@ -282,7 +282,7 @@
         idle = not self._request_active and not self._queue
         if idle and conn is not None and conn.usable:
             self._request_active = True
-            self._on_complete = on_answer
+            self._on_complete = on_complete
             conn.request(method, path, body, timeout, self._complete, headers)
             return
         call = _QueuedRequest(
@@ -290,7 +290,7 @@
             path=path,
             body=body,
             deadline=self._reactor.now() + timeout,
-            on_complete=on_answer,
+            on_complete=on_complete,
             headers=headers,
         )
         self._queue.append(call)
@@ -302,7 +302,7 @@
         if self._conn is not None:
             self._conn.close()
         for call in queue:
-            call.on_complete(HttpLost(sent=False, reason="closed"))
+            call.on_complete(HttpFailure(sent=False, reason="closed"))
 
     def _send_next(self) -> None:
         if self._request_active or not self._queue:
@@ -316,7 +316,7 @@
         self._conn = HttpConnection(
             reactor=self._reactor,
             address=self._address,
-            kept_header=self._captured_header,
+            captured_header=self._captured_header,
         )
         remaining = call.deadline - self._reactor.now()
         timeout = min(CONNECT_TIMEOUT, max(0.0, remaining))
@@ -329,13 +329,13 @@
             self._send(call)
             return
         self._conn = None
-        self._complete(HttpLost(sent=False, reason="connect"))
+        self._complete(HttpFailure(sent=False, reason="connect"))
 
     def _send(self, call: _QueuedRequest) -> None:
         assert self._conn is not None
         remaining = call.deadline - self._reactor.now()
         if remaining <= 0:
-            self._complete(HttpLost(sent=False, reason=TIMED_OUT))
+            self._complete(HttpFailure(sent=False, reason=TIMED_OUT))
             return
         self._conn.request(
             call.method,
@@ -346,7 +346,7 @@
             call.headers,
         )
 
-    def _complete(self, answer: HttpAnswer | HttpLost) -> None:
+    def _complete(self, answer: HttpResponse | HttpFailure) -> None:
         self._request_active = False
         on_complete, self._on_complete = self._on_complete, None
         if on_complete is not None:
--- a/bamboospring/http_dialer.py
+++ b/bamboospring/http_dialer.py
@@ -8,9 +8,9 @@
 
 from bamboospring.blackboard import Target
 from bamboospring.connection_terminator import ConnectionTerminator
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpConnection
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.reactor import Reactor
 from bamboospring.target_link import Health
 from bamboospring.target_link import Opened
@@ -63,8 +63,8 @@
                 "POST", "/connect", self._connect_body, timeout, on_answer
             )
 
-        def on_answer(answer: HttpAnswer | HttpLost) -> None:
-            if isinstance(answer, HttpLost) or answer.status != 200:
+        def on_answer(answer: HttpResponse | HttpFailure) -> None:
+            if isinstance(answer, HttpFailure) or answer.status != 200:
                 conn.close()
                 on_complete(OpenFailed())
                 return
@@ -82,8 +82,8 @@
     ) -> None:
         """Request the target's report on an idle connection."""
 
-        def on_answer(answer: HttpAnswer | HttpLost) -> None:
-            if not isinstance(answer, HttpLost):
+        def on_answer(answer: HttpResponse | HttpFailure) -> None:
+            if not isinstance(answer, HttpFailure):
                 on_complete(Health.ALIVE)
             elif answer.reason == "timeout":
                 on_complete(Health.SILENT)
@@ -97,7 +97,7 @@
         self._terminator.terminate(connection_id)
 
 
-def _connection_id(answer: HttpAnswer) -> int:
+def _connection_id(answer: HttpResponse) -> int:
     """Return the connection's id at the target, 0 if it sent none."""
     try:
         return int(orjson.loads(answer.body).get("connection", 0))
--- a/bamboospring/http_server.py
+++ b/bamboospring/http_server.py
@@ -22,7 +22,13 @@
 from bamboospring.reactor import Stream
 from bamboospring.reactor import Timer
 
-__all__ = ["Bounds", "HttpServer", "Request", "Response", "encode_response"]
+__all__ = [
+    "RequestLimits",
+    "HttpServer",
+    "Request",
+    "Response",
+    "encode_response",
+]
 
 MAX_HEADERS = 64
 MAX_PIPELINED = 16
@@ -50,16 +56,16 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Bounds:
+class RequestLimits:
     """The limits of one request, in bytes and seconds.
 
     A caller that sends a request byte by byte keeps memory in use, so a
     connection with an incomplete request is closed after `timeout`.
     """
 
-    head: int = 16 * 1024
-    body: int = 1024 * 1024
-    timeout: float = 10.0
+    max_head_bytes: int = 16 * 1024
+    max_body_bytes: int = 1024 * 1024
+    read_timeout: float = 10.0
 
 
 RequestHandler = Callable[[Request, Callable[[Response], None]], None]
@@ -113,9 +119,9 @@
         address: str,
         handler: RequestHandler,
         reuse_port: bool = False,
-        bounds: Bounds = Bounds(),
+        limits: RequestLimits = RequestLimits(),
     ) -> None:
-        self.bounds = bounds
+        self.limits = limits
         self.reactor = reactor
         self.handler = handler
         self.draining = False
@@ -130,7 +136,7 @@
         return self.listener.address
 
     @property
-    def busy(self) -> int:
+    def in_flight_count(self) -> int:
         """Return the number of connections with a request in flight."""
         return sum(conn.busy for conn in self.connections)
 
@@ -215,19 +221,22 @@
         # Catches an oversized head that arrives in a single read (up to
         # READ_SIZE bytes), which `_on_data` never sees as incomplete.
         self._parsed_head_bytes += size
-        if self._parsed_head_bytes > self._server.bounds.head:
+        if self._parsed_head_bytes > self._server.limits.max_head_bytes:
             raise _HeadTooLarge()
 
     def on_body(self, data: bytes) -> None:
         self._body_size += len(data)
-        if self._body_size > self._server.bounds.body:
+        if self._body_size > self._server.limits.max_body_bytes:
             raise _BodyTooLarge()
         self._body.append(data)
 
     def on_headers_complete(self) -> None:
         self._in_head = False
         length = self._headers.get("content-length", "")
-        if length.isdigit() and int(length) > self._server.bounds.body:
+        if (
+            length.isdigit()
+            and int(length) > self._server.limits.max_body_bytes
+        ):
             raise _BodyTooLarge()
 
     def on_message_complete(self) -> None:
@@ -262,12 +271,15 @@
         queued_after = len(self._queue) if self._queue else 0
         if queued_after > queued_before:
             self._received_bytes = 0
-        elif self._in_head and self._received_bytes > self._server.bounds.head:
+        elif (
+            self._in_head
+            and self._received_bytes > self._server.limits.max_head_bytes
+        ):
             self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
             return
         elif self._timer is None:
             self._timer = self._server.reactor.call_later(
-                self._server.bounds.timeout, self._on_timeout
+                self._server.limits.read_timeout, self._on_timeout
             )
         if queued_after > MAX_PIPELINED:
             self._stream.pause()
--- a/bamboospring/load.py
+++ b/bamboospring/load.py
@@ -35,9 +35,9 @@
 import orjson
 
 from bamboospring.errors import BamboospringError
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpConnection
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.reactor import Reactor
 
 __all__ = ["Fault", "LoadError", "LoadPlan", "LoadResult", "plot", "run"]
@@ -238,8 +238,8 @@
                 "POST", "/v1/sessions", body, CONNECT_TIMEOUT, answered
             )
 
-        def answered(answer: HttpAnswer | HttpLost) -> None:
-            if isinstance(answer, HttpAnswer) and answer.status < 300:
+        def answered(answer: HttpResponse | HttpFailure) -> None:
+            if isinstance(answer, HttpResponse) and answer.status < 300:
                 session.conn = conn
                 token = orjson.loads(answer.body)["token"]
                 session.token = session.token or token
@@ -334,8 +334,8 @@
     ) -> None:
         """Send a request; one without an answer has the outcome `lost`."""
 
-        def answered(answer: HttpAnswer | HttpLost) -> None:
-            if isinstance(answer, HttpLost):
+        def answered(answer: HttpResponse | HttpFailure) -> None:
+            if isinstance(answer, HttpFailure):
                 session.conn = None
                 on_data({"outcome": LOST, "reason": answer.reason})
                 return
@@ -361,10 +361,10 @@
         session: _Session,
         path: str,
         body: dict[str, Any],
-        answered: Callable[[HttpAnswer | HttpLost], None],
+        answered: Callable[[HttpResponse | HttpFailure], None],
     ) -> None:
         if session.conn is None:
-            answered(HttpLost(sent=False, reason="connect"))
+            answered(HttpFailure(sent=False, reason="connect"))
             return
         body = {**body, "token": session.token}
         timeout = self._plan.deadline_ms / 1000 + ANSWER_GRACE_SECONDS
--- a/bamboospring/platform/__main__.py
+++ b/bamboospring/platform/__main__.py
@@ -37,7 +37,7 @@
         node = SessionNode(cfg, make_adapters(), path)
     except OSError as exc:
         raise ListenError(f"cannot listen: {exc}") from exc
-    node.rotation.install()
+    node.settings_reloader.install_signal_handler()
     logs.log_event(
         "started",
         zone=cfg.availability_zone,
--- a/bamboospring/platform/promotion_client.py
+++ b/bamboospring/platform/promotion_client.py
@@ -7,9 +7,9 @@
 
 import orjson
 
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpConnection
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.reactor import Reactor
 from bamboospring.sessions.ports import PromotionResult
 
@@ -58,20 +58,22 @@
                 "POST", "/promotion", body, timeout, on_answer, headers
             )
 
-        def on_answer(answer: HttpAnswer | HttpLost) -> None:
+        def on_answer(answer: HttpResponse | HttpFailure) -> None:
             conn.close()
             on_complete(_promotion_result(answer))
 
         conn.connect(timeout, on_connected)
 
 
-def _promotion_result(answer: HttpAnswer | HttpLost) -> PromotionResult:
+def _promotion_result(answer: HttpResponse | HttpFailure) -> PromotionResult:
     match answer:
-        case HttpLost():
+        case HttpFailure():
             return PromotionResult.UNKNOWN
-        case HttpAnswer(status=status) if status < HTTPStatus.MULTIPLE_CHOICES:
+        case HttpResponse(status=status) if (
+            status < HTTPStatus.MULTIPLE_CHOICES
+        ):
             return PromotionResult.ACCEPTED
-        case HttpAnswer(status=HTTPStatus.TOO_MANY_REQUESTS):
+        case HttpResponse(status=HTTPStatus.TOO_MANY_REQUESTS):
             return PromotionResult.NOT_SENT
         case _:
             return PromotionResult.REFUSED
--- a/bamboospring/platform_client.py
+++ b/bamboospring/platform_client.py
@@ -25,9 +25,9 @@
 import orjson
 
 from bamboospring.adaptive_timeout import AdaptiveTimeout
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.http_client import TIMED_OUT
 from bamboospring import logs
 from bamboospring.object_store import Call
@@ -163,7 +163,7 @@
         self.blocked_until = -1e9
 
 
-OnAnswer = Callable[[HttpAnswer | Unavailable], None]
+OnAnswer = Callable[[HttpResponse | Unavailable], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -230,13 +230,13 @@
     ) -> None:
         """Read one object."""
 
-        def answered(answer: HttpAnswer | Unavailable) -> None:
+        def answered(answer: HttpResponse | Unavailable) -> None:
             match answer:
                 case Unavailable():
                     on_result(answer)
-                case HttpAnswer(status=HTTPStatus.NOT_FOUND):
+                case HttpResponse(status=HTTPStatus.NOT_FOUND):
                     on_result(Missing(kind=kind, name=name))
-                case HttpAnswer():
+                case HttpResponse():
                     on_result(self._read(answer, self._dialect.found))
 
         call = self._dialect.get(kind, name)
@@ -261,22 +261,22 @@
         only be determined by reading the object back.
         """
 
-        def answered(answer: HttpAnswer | Unavailable) -> None:
+        def answered(answer: HttpResponse | Unavailable) -> None:
             match answer:
                 case Unavailable():
                     on_result(answer)
-                case HttpAnswer(status=HTTPStatus.OK | HTTPStatus.CREATED):
+                case HttpResponse(status=HTTPStatus.OK | HTTPStatus.CREATED):
                     if if_version and self._era_of(answer) != era_of(
                         if_version
                     ):
                         on_result(_era_mismatch(maybe_applied=True))
                         return
                     on_result(self._read(answer, dialect.stored))
-                case HttpAnswer(
+                case HttpResponse(
                     status=HTTPStatus.NOT_FOUND | HTTPStatus.CONFLICT
                 ):
                     on_result(self._read_conflict(answer))
-                case HttpAnswer():
+                case HttpResponse():
                     on_result(Rejected(status=answer.status))
 
         if if_version and era_of(if_version) < self.era:
@@ -321,13 +321,13 @@
     ) -> None:
         """Delete an object if it is at `if_version`."""
 
-        def answered(answer: HttpAnswer | Unavailable) -> None:
+        def answered(answer: HttpResponse | Unavailable) -> None:
             match answer:
                 case Unavailable():
                     on_result(answer)
-                case HttpAnswer(status=HTTPStatus.CONFLICT):
+                case HttpResponse(status=HTTPStatus.CONFLICT):
                     on_result(self._read_conflict(answer))
-                case HttpAnswer():
+                case HttpResponse():
                     on_result(Deleted())
 
         if if_version and era_of(if_version) < self.era:
@@ -354,7 +354,7 @@
         objects: list[Found] = []
         revision = 0
 
-        def answered(answer: HttpAnswer | Unavailable) -> None:
+        def answered(answer: HttpResponse | Unavailable) -> None:
             nonlocal revision
             if isinstance(answer, Unavailable):
                 on_result(answer)
@@ -393,15 +393,15 @@
         of its purpose.
         """
 
-        def answered(answer: HttpAnswer | Unavailable) -> None:
+        def answered(answer: HttpResponse | Unavailable) -> None:
             match answer:
                 case Unavailable():
                     on_result(answer)
-                case HttpAnswer(status=HTTPStatus.GONE):
+                case HttpResponse(status=HTTPStatus.GONE):
                     on_result(HistoryLost())
-                case HttpAnswer() if self._era_of(answer) != era_of(after):
+                case HttpResponse() if self._era_of(answer) != era_of(after):
                     on_result(HistoryLost())
-                case HttpAnswer():
+                case HttpResponse():
                     on_result(self._read(answer, read))
 
         def read(body: bytes) -> Changes:
@@ -425,11 +425,11 @@
     ) -> None:
         """Read the list of VMs if it is newer than revision `after`."""
 
-        def answered(answer: HttpAnswer | Unavailable) -> None:
+        def answered(answer: HttpResponse | Unavailable) -> None:
             match answer:
                 case Unavailable():
                     on_result(answer)
-                case HttpAnswer():
+                case HttpResponse():
                     body = orjson.loads(answer.body)
                     vms = tuple(body["vms"]) if "vms" in body else None
                     on_result(VmsFound(revision=body["revision"], vms=vms))
@@ -453,13 +453,13 @@
         for queue in self._queues.values():
             queue.client.close()
 
-    def _read_conflict(self, answer: HttpAnswer) -> Conflict | Unavailable:
+    def _read_conflict(self, answer: HttpResponse) -> Conflict | Unavailable:
         return self._read(
             answer, lambda body: self._dialect.conflict(answer.status, body)
         )
 
     def _read(
-        self, answer: HttpAnswer, read: Callable[[bytes], Dated]
+        self, answer: HttpResponse, read: Callable[[bytes], Dated]
     ) -> Dated | Unavailable:
         """Decode a body; a malformed one means that the outcome is unknown."""
         try:
@@ -503,9 +503,9 @@
             # Answered in a later turn of the loop, like every other call.
             self._reactor.call_later(0, lambda: on_answer(refusal))
 
-        def answered(answer: HttpAnswer | HttpLost) -> None:
+        def answered(answer: HttpResponse | HttpFailure) -> None:
             queue.is_busy = False
-            if isinstance(answer, HttpAnswer):
+            if isinstance(answer, HttpResponse):
                 self._update_era(answer)
             if not has_fixed_timeout:
                 self._record_answer_time(answer, self._reactor.now() - sent_at)
@@ -538,7 +538,7 @@
         queue.pending.append(_QueuedCall(send=send, refuse=refuse))
         self._send_next(queue)
 
-    def _update_era(self, answer: HttpAnswer) -> None:
+    def _update_era(self, answer: HttpResponse) -> None:
         era, first = self._era_of(answer), not self._has_answered
         self._has_answered = True
         if era <= self.era:
@@ -555,27 +555,27 @@
             for callback in self.on_restored:
                 callback()
 
-    def _era_of(self, answer: HttpAnswer) -> int:
+    def _era_of(self, answer: HttpResponse) -> int:
         """Return the era of an answer; 0 for a store without eras."""
-        if not answer.header:
+        if not answer.captured_header:
             return 0
         try:
-            return int(answer.header)
+            return int(answer.captured_header)
         except ValueError:
             logs.log_event(
                 "store_era_unreadable",
                 level=logs.Level.WARNING,
-                value=answer.header[:20],
+                value=answer.captured_header[:20],
             )
             return 0
 
     def _record_answer_time(
-        self, answer: HttpAnswer | HttpLost, seconds: float
+        self, answer: HttpResponse | HttpFailure, seconds: float
     ) -> None:
         match answer:
-            case HttpAnswer():
+            case HttpResponse():
                 self._adaptive_timeout.record_answer(seconds)
-            case HttpLost(reason=reason) if reason == TIMED_OUT:
+            case HttpFailure(reason=reason) if reason == TIMED_OUT:
                 self._adaptive_timeout.record_timeout()
 
     def _send_next(self, queue: _PurposeQueue) -> None:
@@ -594,20 +594,20 @@
         queue: _PurposeQueue,
         counts: CallCounts,
         method: str,
-        answer: HttpAnswer | HttpLost,
-    ) -> HttpAnswer | Unavailable:
+        answer: HttpResponse | HttpFailure,
+    ) -> HttpResponse | Unavailable:
         """Return the answer or the failure, and record failures."""
         match answer:
-            case HttpLost():
+            case HttpFailure():
                 maybe_applied = answer.sent and method != "GET"
                 reason = answer.reason
-            case HttpAnswer(status=HTTPStatus.TOO_MANY_REQUESTS):
+            case HttpResponse(status=HTTPStatus.TOO_MANY_REQUESTS):
                 maybe_applied = False
                 reason = "rate"
-            case HttpAnswer() if answer.status >= SERVER_ERRORS:
+            case HttpResponse() if answer.status >= SERVER_ERRORS:
                 maybe_applied = method != "GET"
                 reason = f"status {answer.status}"
-            case HttpAnswer():
+            case HttpResponse():
                 queue.backoff.reset()
                 return answer
         counts.failed += 1
@@ -628,7 +628,7 @@
                 client=HttpClient(
                     reactor=self._reactor,
                     address=self._address,
-                    kept_header=self._dialect.era_header,
+                    captured_header=self._dialect.era_header,
                 ),
                 backoff=Backoff(
                     max_delay=max_delay, first_delay=self._timing.first_backoff
--- a/bamboospring/primary_confirmation.py
+++ b/bamboospring/primary_confirmation.py
@@ -15,9 +15,9 @@
 
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import Group
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.reactor import Reactor
 from bamboospring.target_api import decode_probe
 from bamboospring.target_api import ProbeResult
@@ -133,10 +133,10 @@
             client = HttpClient(reactor=self._reactor, address=address)
             self._clients[address] = client
 
-        def on_answer(answer: HttpAnswer | HttpLost) -> None:
+        def on_answer(answer: HttpResponse | HttpFailure) -> None:
             self._in_flight.discard(address)
             current.pending -= 1
-            if isinstance(answer, HttpAnswer) and answer.status == 200:
+            if isinstance(answer, HttpResponse) and answer.status == 200:
                 result = decode_probe(answer.body)
                 if result is not None:
                     current.results[target] = result
--- a/bamboospring/process.py
+++ b/bamboospring/process.py
@@ -14,7 +14,7 @@
 from bamboospring.entry import Entry
 from bamboospring.fleet_view import FleetView
 from bamboospring.forwarding import LocalHolder
-from bamboospring.http_server import Bounds
+from bamboospring.http_server import RequestLimits
 from bamboospring import logs
 from bamboospring.membership import Membership
 from bamboospring.metrics import Metrics
@@ -24,16 +24,16 @@
 from bamboospring.peers import new_envelope
 from bamboospring.peers import Peers
 from bamboospring.reactor import Reactor
+from bamboospring.reloader import SettingsReloader
 from bamboospring.rendezvous import Placement
 from bamboospring.retry_budget import RetryBudget
-from bamboospring.rotation import Rotation
 from bamboospring.settings import load
 from bamboospring.settings import Settings
 from bamboospring.settings import Tls
 from bamboospring.status_view import not_ready_reasons
 from bamboospring.status_view import StatusView
-from bamboospring.tls import Keys
-from bamboospring.tls import secured
+from bamboospring.tls import TlsCredentials
+from bamboospring.tls import with_tls
 from bamboospring.tokens import SigningKey
 from bamboospring.tokens import TokenCodec
 
@@ -52,8 +52,10 @@
         super().__init__()
         self.cfg = cfg
         self.reactor = Reactor().register(self)
-        self.rotation = Rotation(reactor=self.reactor, path=path, load=load)
-        self.rotation.add(self._apply_settings)
+        self.settings_reloader = SettingsReloader(
+            reactor=self.reactor, path=path, load=load
+        )
+        self.settings_reloader.add_listener(self._apply_settings)
         self.board = Blackboard(
             local_vm=Vm(
                 name=cfg.vm,
@@ -65,7 +67,7 @@
         self.placement = Placement()
         self.peers = Peers(
             reactor=self._secured(
-                cfg.peers.tls, lambda s: s.peers.tls, check_name=False
+                cfg.peers.tls, lambda s: s.peers.tls, verify_address=False
             ),
             vm=cfg.vm,
             listen=cfg.peers.listen,
@@ -89,10 +91,10 @@
             membership=self.membership,
             listen=cfg.callers.listen,
             reuse_port=cfg.callers.reuse_port,
-            bounds=Bounds(
-                head=cfg.limits.request_head_bytes,
-                body=cfg.limits.request_body_bytes,
-                timeout=cfg.timing.request_timeout_ms / 1000,
+            request_limits=RequestLimits(
+                max_head_bytes=cfg.limits.request_head_bytes,
+                max_body_bytes=cfg.limits.request_body_bytes,
+                read_timeout=cfg.timing.request_timeout_ms / 1000,
             ),
             budget=RetryBudget(percent=cfg.limits.retry_percent),
             on_answered=self.metrics.record_answer,
@@ -152,13 +154,13 @@
         tls: Tls | None,
         find: Callable[[Settings], Tls | None],
         *,
-        check_name: bool = True,
+        verify_address: bool = True,
     ) -> Reactor:
         if tls is None:
             return self.reactor
-        keys = Keys(tls=tls, check_name=check_name)
-        self.rotation.add_keys(keys, find)
-        return secured(self.reactor, keys)
+        keys = TlsCredentials(tls=tls, verify_address=verify_address)
+        self.settings_reloader.add_credentials(keys, find)
+        return with_tls(self.reactor, keys)
 
     def _slow_after(self, group: str) -> float:
         objectives = self.cfg.objectives
--- a/bamboospring/reads.py
+++ b/bamboospring/reads.py
@@ -18,7 +18,7 @@
 from bamboospring.exchange import failed_from
 from bamboospring.exchange import refusal_from
 from bamboospring.exchange import RETRY_SOON_MS
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
 from bamboospring.outcomes import NotRun
 from bamboospring.outcomes import Outcome
 from bamboospring.outcomes import Overloaded
@@ -248,11 +248,11 @@
     def _send(self, choice: SendRead, leased: LeasedConnection) -> None:
         state = self._group.state(choice.target.name)
 
-        def on_answer(answer: TargetAnswer | HttpLost) -> None:
+        def on_answer(answer: TargetAnswer | HttpFailure) -> None:
             state.in_flight -= 1
-            lost = isinstance(answer, HttpLost)
+            lost = isinstance(answer, HttpFailure)
             self._runner.pools.release(leased, healthy=not lost)
-            if isinstance(answer, HttpLost):
+            if isinstance(answer, HttpFailure):
                 self._try_elsewhere(choice, _lost_outcome(answer))
             else:
                 self._on_answer(choice, answer)
@@ -349,7 +349,7 @@
         return self._stmt.deadline - self._runner.reactor.now()
 
 
-def _lost_outcome(lost: HttpLost) -> NotRun | Unknown:
+def _lost_outcome(lost: HttpFailure) -> NotRun | Unknown:
     if lost.sent:
         return Unknown(reason=Reason.ANSWER_LOST, retry_after_ms=RETRY_SOON_MS)
     return NotRun(
--- a/bamboospring/rotation.py
+++ b/bamboospring/reloader.py
@@ -19,9 +19,9 @@
 if TYPE_CHECKING:
     from bamboospring.settings import Settings
     from bamboospring.settings_base import Tls
-    from bamboospring.tls import Keys
+    from bamboospring.tls import TlsCredentials
 
-__all__ = ["Rotation"]
+__all__ = ["SettingsReloader"]
 
 SettingsListener = Callable[[Any], None]
 
@@ -30,7 +30,7 @@
 POLL_INTERVAL = 2.0
 
 
-class Rotation:
+class SettingsReloader:
     """Reload the settings and pass them to the registered listeners."""
 
     def __init__(
@@ -45,32 +45,32 @@
         self._load = load
         self._last_text: str | None = None
         self._credentials: list[
-            tuple[Keys, Callable[[Settings], Tls | None]]
+            tuple[TlsCredentials, Callable[[Settings], Tls | None]]
         ] = []
         self._listeners: list[SettingsListener] = []
 
-    def add_keys(
-        self, keys: Keys, select: Callable[[Settings], Tls | None]
+    def add_credentials(
+        self, keys: TlsCredentials, select: Callable[[Settings], Tls | None]
     ) -> None:
         """Reload `keys` from the files that `select` returns for settings."""
         self._credentials.append((keys, select))
 
-    def add(self, listener: SettingsListener) -> None:
+    def add_listener(self, listener: SettingsListener) -> None:
         """Call `listener` with reloaded settings; it must not raise."""
         self._listeners.append(listener)
 
-    def install(self) -> None:
+    def install_signal_handler(self) -> None:
         """Reload the settings on SIGHUP."""
         signal.signal(signal.SIGHUP, self._on_signal)
 
-    def read_again(self) -> bool:
+    def reload(self) -> bool:
         """Reload the settings file; return False if it is invalid."""
         try:
             cfg = self._load(self._path)
             for keys, select in self._credentials:
                 tls = select(cfg)
                 if tls is not None:
-                    keys.read_again(tls)
+                    keys.reload(tls)
         except SettingsError as exc:
             logs.log_event(
                 "settings_refused", level=logs.Level.ERROR, reason=str(exc)
@@ -82,13 +82,13 @@
         logs.log_event("settings_taken", keys=ids)
         return True
 
-    def follow(self) -> None:
+    def poll_file(self) -> None:
         """Check the file periodically: it may change without a signal."""
         text = self._read_text()
         if self._last_text is not None and text not in (None, self._last_text):
-            self.read_again()
+            self.reload()
         self._last_text = text if text is not None else self._last_text
-        self._reactor.call_later(POLL_INTERVAL, self.follow)
+        self._reactor.call_later(POLL_INTERVAL, self.poll_file)
 
     def _read_text(self) -> str | None:
         try:
@@ -108,4 +108,4 @@
         self._reactor.resume()
 
     def _reload_now(self) -> None:
-        self.read_again()
+        self.reload()
--- a/bamboospring/serve.py
+++ b/bamboospring/serve.py
@@ -18,7 +18,7 @@
     except OSError as exc:
         raise ListenError(f"cannot listen: {exc}") from exc
     if path:
-        process.rotation.install()
+        process.settings_reloader.install_signal_handler()
     logs.log_event(
         "listening",
         callers=process.entry.server.address,
--- a/bamboospring/sessions/node.py
+++ b/bamboospring/sessions/node.py
@@ -26,8 +26,8 @@
 from bamboospring.pool import PoolTiming
 from bamboospring.pools import Pools
 from bamboospring.reactor import Reactor
+from bamboospring.reloader import SettingsReloader
 from bamboospring.retry_budget import RetryBudget
-from bamboospring.rotation import Rotation
 from bamboospring.sessions.access import identify
 from bamboospring.sessions.catalog_keeper import CATALOG_PURPOSE
 from bamboospring.sessions.catalog_keeper import CatalogKeeper
@@ -106,8 +106,10 @@
         self.cfg = cfg
         self.adapters = adapters
         self.reactor = Reactor().register(self)
-        self.rotation = Rotation(reactor=self.reactor, path=path, load=load)
-        self.rotation.add(self._apply_settings)
+        self.settings_reloader = SettingsReloader(
+            reactor=self.reactor, path=path, load=load
+        )
+        self.settings_reloader.add_listener(self._apply_settings)
         self._started_at = self.reactor.now()
         self.board = SessionBoard(
             vm=cfg.vm,
@@ -156,7 +158,7 @@
         self.targets.start()
         self.registry.start(self._on_registered)
         self.pools.start()
-        self.rotation.follow()
+        self.settings_reloader.poll_file()
 
     def _on_registered(self) -> None:
         """Start the other components once this VM is listed.
--- a/bamboospring/table_pages.py
+++ b/bamboospring/table_pages.py
@@ -29,9 +29,9 @@
 
 from bamboospring.blackboard import Blackboard
 from bamboospring.blackboard import TableRow
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.http_server import Request
 from bamboospring.http_server import Response
 from bamboospring.platform_client import Changes
@@ -263,8 +263,10 @@
             answered = partial(self._on_answer, address)
             client.request("GET", "/probe", b"", PROBE_TIMEOUT, answered)
 
-    def _on_answer(self, address: str, answer: HttpAnswer | HttpLost) -> None:
-        if isinstance(answer, HttpLost):
+    def _on_answer(
+        self, address: str, answer: HttpResponse | HttpFailure
+    ) -> None:
+        if isinstance(answer, HttpFailure):
             self._unresponsive.add(address)
         self._clients.pop(address).close()
         if not self._clients:
--- a/bamboospring/target_orders.py
+++ b/bamboospring/target_orders.py
@@ -8,9 +8,9 @@
 
 import orjson
 
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.primary_change import Order
 from bamboospring.primary_change import OrderKind
 from bamboospring.reactor import Reactor
@@ -39,9 +39,9 @@
     """
     client = HttpClient(reactor=reactor, address=order.target.address)
 
-    def on_answer(answer: HttpAnswer | HttpLost) -> None:
+    def on_answer(answer: HttpResponse | HttpFailure) -> None:
         client.close()
-        if isinstance(answer, HttpLost):
+        if isinstance(answer, HttpFailure):
             on_complete(False, None)
             return
         if answer.status == HTTPStatus.NO_CONTENT and order.known_probe:
--- a/bamboospring/target_watcher.py
+++ b/bamboospring/target_watcher.py
@@ -24,9 +24,9 @@
 from bamboospring.blackboard import Role
 from bamboospring.blackboard import Target
 from bamboospring.commit import held_by_majority
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpClient
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.reactor import Reactor
 from bamboospring.reactor import Timer
 from bamboospring.rendezvous import Placement
@@ -385,7 +385,7 @@
         is_primary = self.target.name == primary
         return PRIMARY_POLL_TIMEOUT if is_primary else REPLICA_POLL_TIMEOUT
 
-    def _on_answer(self, answer: HttpAnswer | HttpLost) -> None:
+    def _on_answer(self, answer: HttpResponse | HttpFailure) -> None:
         if self._stopped:
             return
         probe = self._decode_answer(answer)
@@ -403,7 +403,7 @@
         self._ask(f"/positions?{_known_query(probe)}&wait_ms={wait_ms}")
 
     def _decode_answer(
-        self, answer: HttpAnswer | HttpLost
+        self, answer: HttpResponse | HttpFailure
     ) -> ProbeResult | None:
         """Decode a report; an answer without a body repeats the last one.
 
@@ -413,9 +413,9 @@
         failure.
         """
         match answer:
-            case HttpAnswer(status=HTTPStatus.OK):
+            case HttpResponse(status=HTTPStatus.OK):
                 return decode_probe(answer.body)
-            case HttpAnswer(status=HTTPStatus.NO_CONTENT):
+            case HttpResponse(status=HTTPStatus.NO_CONTENT):
                 return self._known_probe
         return None
 
--- a/bamboospring/tls.py
+++ b/bamboospring/tls.py
@@ -21,7 +21,7 @@
 from bamboospring.reactor import Timer
 from bamboospring.settings_base import Tls
 
-__all__ = ["Keys", "secured"]
+__all__ = ["TlsCredentials", "with_tls"]
 
 # The maximum plaintext size of a TLS record; each read allocates as much.
 MAX_RECORD_BYTES = 16384
@@ -32,7 +32,7 @@
 OnStream = Callable[[Stream | None], None]
 
 
-class Keys:
+class TlsCredentials:
     """The TLS keys and certificates of one side; they can be reloaded.
 
     With `check_name`, the server's certificate must contain the IP address
@@ -41,12 +41,12 @@
     signs only certificates of the system.
     """
 
-    def __init__(self, *, tls: Tls, check_name: bool) -> None:
-        self._check_name = check_name
+    def __init__(self, *, tls: Tls, verify_address: bool) -> None:
+        self._check_name = verify_address
         self.server = _make_server_context(tls)
-        self.client = _make_client_context(tls, check_name)
+        self.client = _make_client_context(tls, verify_address)
 
-    def read_again(self, tls: Tls) -> None:
+    def reload(self, tls: Tls) -> None:
         """Reload the key files for new connections.
 
         Raise `SettingsError` and change nothing if the files are invalid.
@@ -57,7 +57,7 @@
         self.client = client
 
 
-def secured(reactor: Reactor, keys: Keys | None) -> Reactor:
+def with_tls(reactor: Reactor, keys: TlsCredentials | None) -> Reactor:
     """Return a reactor that uses TLS, or `reactor` itself without keys."""
     if keys is None:
         return reactor
@@ -68,7 +68,9 @@
 class _TlsReactor:
     """Listen and connect with TLS; timers are those of the reactor."""
 
-    def __init__(self, *, reactor: Reactor, credentials: Keys) -> None:
+    def __init__(
+        self, *, reactor: Reactor, credentials: TlsCredentials
+    ) -> None:
         self._reactor = reactor
         self._credentials = credentials
         self.now = reactor.now
--- a/bamboospring/transaction_runner.py
+++ b/bamboospring/transaction_runner.py
@@ -9,7 +9,7 @@
 from bamboospring.exchange import failed_from
 from bamboospring.exchange import refusal_from
 from bamboospring.exchange import RETRY_SOON_MS
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
 from bamboospring.in_flight import InFlightWrite
 from bamboospring.in_flight import InFlightWrites
 from bamboospring.outcomes import Done
@@ -221,9 +221,9 @@
             self._finish(_primary_changed_outcome())
             self._runner.roll_back(self._transaction)
 
-    def _on_answer(self, answer: TargetAnswer | HttpLost) -> None:
+    def _on_answer(self, answer: TargetAnswer | HttpFailure) -> None:
         self.sent_on = None
-        if isinstance(answer, HttpLost):
+        if isinstance(answer, HttpFailure):
             self._on_lost(answer)
         elif answer.outcome != "ok":
             self._on_failure(answer)
@@ -236,7 +236,7 @@
         else:
             self._on_committed(answer)
 
-    def _on_lost(self, lost: HttpLost) -> None:
+    def _on_lost(self, lost: HttpFailure) -> None:
         outcome: Outcome = rolled_back_outcome()
         if self._stmt.step is StepKind.COMMIT and lost.sent:
             outcome = Unknown(
--- a/bamboospring/writes.py
+++ b/bamboospring/writes.py
@@ -21,7 +21,7 @@
 from bamboospring.exchange import failed_from
 from bamboospring.exchange import refusal_from
 from bamboospring.exchange import RETRY_SOON_MS
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
 from bamboospring.in_flight import InFlightWrite
 from bamboospring.in_flight import InFlightWrites
 from bamboospring.in_flight import UnresponsiveTargetMonitor
@@ -296,18 +296,18 @@
         state = self._group.state(choice.target.name)
         state.in_flight += 1
 
-        def on_answer(answer: TargetAnswer | HttpLost) -> None:
+        def on_answer(answer: TargetAnswer | HttpFailure) -> None:
             state.in_flight -= 1
             self.sent_on = None
             if self._phase is not WritePhase.SENT:
                 # The write has already finished. If a transaction has begun,
                 # closing its connection rolls it back.
                 is_autocommit = self._stmt.step is StepKind.AUTOCOMMIT
-                lost = isinstance(answer, HttpLost)
+                lost = isinstance(answer, HttpFailure)
                 self._runner.pools.release(
                     leased, healthy=is_autocommit and not lost
                 )
-            elif isinstance(answer, HttpLost):
+            elif isinstance(answer, HttpFailure):
                 self._runner.pools.release(leased, healthy=False)
                 self._on_lost(answer)
             else:
@@ -322,7 +322,7 @@
             on_answer=on_answer,
         )
 
-    def _on_lost(self, lost: HttpLost) -> None:
+    def _on_lost(self, lost: HttpFailure) -> None:
         if not lost.sent or self._stmt.step is StepKind.BEGIN:
             # Nothing was sent, or only a BEGIN, which closing the connection
             # rolls back.
--- a/features/steps/store_era_steps.py
+++ b/features/steps/store_era_steps.py
@@ -13,7 +13,7 @@
 from behave import then
 from behave import when
 
-from bamboospring.http_client import HttpAnswer
+from bamboospring.http_client import HttpResponse
 from bamboospring.object_store import Changes
 from bamboospring.object_store import Conflict
 from bamboospring.object_store import HistoryLost
@@ -75,16 +75,16 @@
         path: str,
         body: bytes,
         timeout: float,
-        on_answer: Callable[[HttpAnswer], None],
+        on_answer: Callable[[HttpResponse], None],
         headers: str = "",
     ) -> None:
         self.calls.append(f"{method} {path}")
         status, reply = self.replies.pop(0)
         on_answer(
-            HttpAnswer(
+            HttpResponse(
                 status=status,
                 body=json.dumps(reply).encode(),
-                header=str(self.era),
+                captured_header=str(self.era),
             )
         )
 
--- a/features/steps/target_exchange_steps.py
+++ b/features/steps/target_exchange_steps.py
@@ -9,9 +9,9 @@
 from behave import then
 from behave import when
 
-from bamboospring.http_client import HttpAnswer
 from bamboospring.http_client import HttpConnection
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 
 
 class FakeStream:
@@ -62,8 +62,8 @@
 @then("the first question is answered and the second is lost")
 def then_lost(context: Any) -> None:
     assert context.answers == [
-        HttpAnswer(status=200, body=b"1"),
-        HttpLost(sent=True, reason="protocol"),
+        HttpResponse(status=200, body=b"1"),
+        HttpFailure(sent=True, reason="protocol"),
     ], context.answers
 
 
--- a/features/steps/target_polls_steps.py
+++ b/features/steps/target_polls_steps.py
@@ -16,8 +16,8 @@
 from bamboospring.blackboard import GroupRecord
 from bamboospring.blackboard import Target
 from bamboospring.blackboard import Vm
-from bamboospring.http_client import HttpAnswer
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.primary_change import Order
 from bamboospring.primary_change import OrderKind
 from bamboospring.rendezvous import Placement
@@ -118,7 +118,7 @@
 
 
 def answer(context: Any, status: int, body: bytes = b"") -> None:
-    context.client.on_answer(HttpAnswer(status=status, body=body))
+    context.client.on_answer(HttpResponse(status=status, body=body))
 
 
 @given("a holder that watches a primary over fake connections")
@@ -206,7 +206,7 @@
 def when_lost(context: Any) -> None:
     context.answered_at = context.now
     context.now += 1.0
-    context.client.on_answer(HttpLost(sent=True, reason="closed"))
+    context.client.on_answer(HttpFailure(sent=True, reason="closed"))
     context.later.pop()()
     context.now += 1.0
     answer(context, 204)
--- a/features/steps/unanswered_steps.py
+++ b/features/steps/unanswered_steps.py
@@ -20,8 +20,8 @@
 from bamboospring.blackboard import Target
 from bamboospring.connections import ConnectionTiming
 from bamboospring.connections import ConnectionTracker
-from bamboospring.http_client import HttpAnswer
-from bamboospring.http_client import HttpLost
+from bamboospring.http_client import HttpFailure
+from bamboospring.http_client import HttpResponse
 from bamboospring.http_client import TIMED_OUT
 from bamboospring.lease import LeaseKeeper
 from bamboospring.lease import LeaseTiming
@@ -483,11 +483,11 @@
         self.asked.append((path, timeout))
         takes = 0.9 if "config" in path else 0.004
         if takes > timeout:
-            lost = HttpLost(sent=True, reason=TIMED_OUT)
+            lost = HttpFailure(sent=True, reason=TIMED_OUT)
             self.clock.call_later(timeout, lambda: on_answer(lost))
             return
         page = b'{"items":[],"hasMore":false,"currentRev":5}'
-        answer = HttpAnswer(status=200, body=page)
+        answer = HttpResponse(status=200, body=page)
         self.clock.call_later(takes, lambda: on_answer(answer))
 
 
