--- a/bamboospring/http_client.py
+++ b/bamboospring/http_client.py
@@ -35,7 +35,7 @@
 class HttpResponse:
     """A complete response.
 
-    `header` is the value of the header that the connection
+    `captured_header` is the value of the header that the connection
     captures, or "" if the response does not have it.
     """
 
@@ -61,7 +61,7 @@
 class HttpConnection:
     """A client connection, closed for good if its state is uncertain.
 
-    `kept_header` is the lower-case name of the header whose value is
+    `captured_header` is the lower-case name of the header whose value is
     returned with each response.
     """
 
--- a/bamboospring/http_server.py
+++ b/bamboospring/http_server.py
@@ -60,7 +60,7 @@
     """The limits of one request, in bytes and seconds.
 
     A caller that sends a request byte by byte keeps memory in use, so a
-    connection with an incomplete request is closed after `timeout`.
+    connection with an incomplete request is closed after `read_timeout`.
     """
 
     max_head_bytes: int = 16 * 1024
--- a/bamboospring/settings.py
+++ b/bamboospring/settings.py
@@ -86,12 +86,12 @@
 
     listen: Address = Field(description="Address to listen on, `ip:port`.")
     tls: Tls | None = Field(
-        default=None, description="Keys; null for plain text."
+        default=None, description="TLS keys; null for plain text."
     )
     plain_text: bool = Field(
         default=False,
         description="Allow plain text on an address that other machines can "
-        "reach. A loopback address does not need it.",
+        "reach. Not required for a loopback address.",
     )
 
     @model_validator(mode="after")
@@ -101,27 +101,27 @@
 
 
 class Callers(_Listener):
-    """Where callers connect."""
+    """The listener for callers."""
 
     reuse_port: bool = Field(
         default=False,
         description="Share the address with this VM's other processes "
-        "(SO_REUSEPORT): the kernel gives each new connection to one of "
+        "(SO_REUSEPORT): the kernel assigns each new connection to one of "
         "those that are ready. All of them must set it and run as the same "
         "user.",
     )
 
 
 class EntryOnly(Section):
-    """Whether this process is one of several on its VM, and only an entry.
+    """Whether this process is an additional, entry-only process of its VM.
 
-    It takes callers and forwards to holders. It is in no list of VMs, opens
-    no connection to a target and makes no call to the platform.
+    An entry-only process accepts callers and forwards to holders. It is not
+    listed as a VM, does not connect to targets and does not call the platform.
     """
 
     only: bool = Field(
         default=False,
-        description="Be only an entry, beside the VM's main process.",
+        description="Run as an entry only, beside the VM's main process.",
     )
     of: str = Field(
         default="",
@@ -131,7 +131,7 @@
     main: Address | None = Field(
         default=None,
         description="`peers.listen` of the main process, from which this "
-        "one learns what there is; required with `only`.",
+        "one gets its data on VMs and groups; required with `only`.",
     )
 
     @model_validator(mode="after")
@@ -144,13 +144,13 @@
 
 
 class Peers(_Listener):
-    """Where the system's other VMs connect; callers never do."""
+    """The listener for the system's other VMs, not for callers."""
 
     seeds: list[Address] = Field(
         default_factory=list,
         max_length=16,
-        description="Peers' addresses to ask which VMs there are when the "
-        "platform does not answer at the start.",
+        description="Addresses of peers from which the list of VMs is read "
+        "if the platform does not respond at startup.",
     )
 
     @model_validator(mode="after")
@@ -164,11 +164,11 @@
 
 
 class Operators(_Listener):
-    """Where operators and the metrics' scraper connect."""
+    """The listener for operators and the metrics scraper."""
 
     token: Secret = Field(
-        description="Bearer token that every request must show, except "
-        "`/healthz` and `/readyz`. Read again on SIGHUP."
+        description="Bearer token that every request must send, except to "
+        "`/healthz` and `/readyz`. Reloaded on SIGHUP."
     )
 
 
@@ -192,7 +192,7 @@
 
 
 class Targets(Section):
-    """Connections to the targets, whose addresses the platform gives."""
+    """Connections to the targets; the platform provides their addresses."""
 
     tls: Tls | None = Field(
         default=None,
@@ -210,77 +210,78 @@
         description="Short name of the key; it is part of each token.",
     )
     secret: Secret = Field(
-        description="The key itself, at least 16 characters, the same on "
+        description="The secret key, at least 16 characters, the same on "
         "all VMs."
     )
 
 
 class Limits(Section):
-    """Bounds on what one process takes on."""
+    """Limits on the work that one process accepts."""
 
     queue_length: int = _count_field(
-        256, 1, 100_000, "Statements that wait for a slot, for each group."
+        256, 1, 100_000, "Maximum statements queued for a slot, per group."
     )
     request_head_bytes: int = _bytes_field(
         16_384,
         1_024,
         65_536,
-        "Longest line and headers of a caller's request.",
+        "Maximum size of the request line and headers of a caller's request.",
     )
     request_body_bytes: int = _bytes_field(
-        1_048_576, 1_024, 2_097_152, "Longest body of a caller's request."
+        1_048_576, 1_024, 2_097_152, "Maximum size of a caller's request body."
     )
     retry_percent: float = percent(
-        10.0, 0.0, 100.0, "Retries allowed, as a share of first tries."
+        10.0, 0.0, 100.0, "Maximum retries, as a share of first attempts."
     )
 
 
 class Timing(Section):
-    """How long things may take, and how often they are done."""
+    """Timeouts and intervals."""
 
     connect_timeout_ms: int = milliseconds(
-        1_000, 10, 60_000, "Longest time to open a connection."
+        1_000, 10, 60_000, "Timeout for opening a connection."
     )
     connect_interval_ms: int = milliseconds(
         20,
         0,
         10_000,
-        "Shortest time between two new connections to one "
-        "target, so that many lost at once are not replaced at once.",
+        "Minimum interval between two new connections to one target, so that "
+        "connections lost together are not all reopened together.",
     )
     target_heartbeat_ms: int = milliseconds(
         1_000,
         50,
         60_000,
-        "Idle time after which a pooled connection to a target is tried.",
+        "Idle time after which a pooled connection to a target is checked.",
     )
     target_heartbeat_timeout_ms: int = milliseconds(
         1_000,
         50,
         60_000,
-        "Time without an answer after which a pooled "
-        "connection is taken for dead.",
+        "Time without a response after which a pooled connection is "
+        "considered dead.",
     )
     share_grace_ms: int = milliseconds(
         10_000,
         100,
         600_000,
-        "Time for which a VM that has left the platform's list counts as "
-        "running; its share of targets' limits is not used by others before.",
+        "Time for which a VM that has left the platform's list still counts "
+        "as running. Only then can others use its share of the targets' "
+        "limits.",
     )
     share_isolation_ms: int = milliseconds(
         4_000,
         50,
         300_000,
-        "Time after which a VM that hears neither the platform nor other VMs "
-        "gives up its share. With the lag of the platform's list it must "
-        "stay below `share_grace_ms`.",
+        "Time after which a VM without contact to the platform and to other "
+        "VMs gives up its share. Together with the lag of the platform's list "
+        "it must be less than `share_grace_ms`.",
     )
     suspect_ms: int = milliseconds(
         800,
         20,
         60_000,
-        "Silence of a primary after which a holder suspects it.",
+        "Time without a response after which a holder suspects a primary.",
     )
     vm_list_ms: int = milliseconds(
         2_000,
@@ -292,24 +293,24 @@
         5_000,
         100,
         3_600_000,
-        "Idle time after which an open transaction is rolled back. Meanwhile "
-        "it may keep a lock that other writes of the group wait for.",
+        "Idle time after which an open transaction is rolled back. Until "
+        "then it may hold a lock that blocks other writes of the group.",
     )
     platform_timeout_ms: int = milliseconds(
-        2_000, 10, 60_000, "Longest time for a call to the platform."
+        2_000, 10, 60_000, "Timeout of a call to the platform."
     )
     backoff_ms: int = milliseconds(
         100,
         1,
         60_000,
-        "First pause after a failed call to the platform; "
-        "it doubles with each failure.",
+        "Delay after the first failed call to the platform; it doubles with "
+        "each further failure.",
     )
     longest_backoff_ms: int = milliseconds(
-        5_000, 1, 600_000, "Longest pause after failed calls."
+        5_000, 1, 600_000, "Maximum delay after failed calls."
     )
     watch_ms: int = milliseconds(
-        20_000, 100, 600_000, "Longest time that a watch waits for a change."
+        20_000, 100, 600_000, "Maximum time that a watch waits for a change."
     )
     repair_ms: int = milliseconds(
         2_000,
@@ -321,28 +322,28 @@
         10_000,
         100,
         600_000,
-        "Time within which a caller's request must be whole once it has "
-        "begun.",
+        "Time within which a caller's request must be complete after it has "
+        "started.",
     )
     drain_notice_ms: int = milliseconds(
         5_000,
         0,
         600_000,
-        "Time for which a shutdown goes on taking connections, while the "
-        "balancer finds out that the process is not ready any more.",
+        "Time for which a process that shuts down still accepts connections, "
+        "while the balancer detects that it is no longer ready.",
     )
     drain_idle_ms: int = milliseconds(
         5_000,
         0,
         600_000,
-        "Further time for which a shutdown keeps callers' connections on "
-        "which nothing happens.",
+        "Additional time for which a process that shuts down keeps callers' "
+        "idle connections open.",
     )
     drain_ms: int = milliseconds(
         30_000,
         0,
         600_000,
-        "Longest time that a shutdown takes, whatever is still in flight.",
+        "Maximum duration of a shutdown, regardless of work in flight.",
     )
 
     @model_validator(mode="after")
@@ -354,29 +355,29 @@
 
 
 class Objective(Section):
-    """What a group's callers are promised."""
+    """The service-level objectives of a group."""
 
     availability_percent: float = percent(
         99.9,
         50.0,
         99.9999,
-        "Share of statements that get an answer other "
-        "than overloaded, not run or unknown.",
+        "Share of statements with an outcome other than overloaded, not run "
+        "or unknown.",
     )
     latency_ms: int = milliseconds(
-        100, 1, 600_000, "Time within which a statement is to be answered."
+        100, 1, 600_000, "Response time objective for a statement."
     )
     latency_percent: float = percent(
-        99.0, 50.0, 99.9999, "Share of statements that keep latency_ms."
+        99.0, 50.0, 99.9999, "Share of statements within `latency_ms`."
     )
     failover_gap_ms: int = milliseconds(
         19_000,
         1,
         3_600_000,
-        "Longest time without writes when a primary fails.",
+        "Maximum time without writes when a primary fails.",
     )
     replica_share_percent: float = percent(
-        50.0, 0.0, 100.0, "Share of reads that replicas are to serve."
+        50.0, 0.0, 100.0, "Share of reads that replicas should serve."
     )
 
 
@@ -387,17 +388,17 @@
         default=30,
         ge=1,
         le=366,
-        description="Time over which an error budget is counted.",
+        description="Period over which an error budget is measured.",
         json_schema_extra={"unit": "days"},
     )
     default: Objective = Field(
         default_factory=lambda: Objective(),
-        description="Objectives of groups that have none of their own.",
+        description="Objectives of groups without an entry in `groups`.",
     )
     groups: dict[str, Objective] = Field(
         default_factory=dict,
-        description="Objectives by name of group; a key that is not given "
-        "has its own default, not that of `default`.",
+        description="Objectives by group name; a missing key has the built-in "
+        "default, not the value in `default`.",
     )
 
 
@@ -408,8 +409,8 @@
         min_length=1,
         max_length=64,
         pattern=r"^[A-Za-z0-9._-]+$",
-        description="Name of this VM, as in the platform's list; of an "
-        "entry-only process a name of its own.",
+        description="Name of this VM, as in the platform's list; for an "
+        "entry-only process a unique name.",
     )
     availability_zone: str = Field(
         min_length=1,
@@ -421,18 +422,18 @@
     )
     single_vm: bool = Field(
         default=False,
-        description="Whether this deployment never has another VM. Without "
-        "others a VM that hears no platform cannot tell an outage from having "
-        "been replaced, and gives up its share of targets' limits; with this "
-        "it goes on.",
+        description="Whether this deployment never has another VM. If a VM "
+        "without peers loses contact to the platform, it cannot distinguish "
+        "an outage from its own replacement and gives up its share of the "
+        "targets' limits; with this setting it keeps its share.",
     )
     entry: EntryOnly = Field(
         default_factory=lambda: EntryOnly(),
-        description="Several processes on one VM.",
+        description="Additional processes on one VM.",
     )
-    callers: Callers = Field(description="Callers' listener.")
+    callers: Callers = Field(description="Listener for callers.")
     peers: Peers = Field(description="Listener for the system's other VMs.")
-    operators: Operators = Field(description="Operators' listener.")
+    operators: Operators = Field(description="Listener for operators.")
     platform: Platform = Field(description="The platform's object API.")
     targets: Targets = Field(
         default_factory=lambda: Targets(),
@@ -441,14 +442,14 @@
     token_keys: list[TokenKey] = Field(
         min_length=1,
         max_length=8,
-        description="Keys of session tokens: the first signs, all are "
-        "accepted. Read again on SIGHUP.",
+        description="Keys of session tokens: the first signs new tokens, all "
+        "are accepted. Reloaded on SIGHUP.",
     )
     limits: Limits = Field(
-        default_factory=lambda: Limits(), description="Bounds on work."
+        default_factory=lambda: Limits(), description="Limits on work."
     )
     timing: Timing = Field(
-        default_factory=lambda: Timing(), description="Durations."
+        default_factory=lambda: Timing(), description="Timeouts and intervals."
     )
     lease: Lease = Field(
         default_factory=lambda: Lease(), description="Leases."
--- a/bamboospring/settings_base.py
+++ b/bamboospring/settings_base.py
@@ -102,33 +102,34 @@
 
 
 class Tls(Section):
-    """Files with keys for TLS, in PEM form.
+    """TLS key and certificate files, in PEM format.
 
-    They are read again on SIGHUP: connections that exist go on, new ones use
+    They are reloaded on SIGHUP: existing connections stay open, new ones use
     the new key.
     """
 
     certificate: str = Field(
-        min_length=1, description="Path of the certificate chain to show."
+        min_length=1, description="Path of the certificate chain to present."
     )
     private_key: str = Field(
         min_length=1,
-        description="Path of the private key; it has no password.",
+        description="Path of the private key, without a password.",
     )
     authority: str = Field(
         default="",
-        description="Path of the certificates that the other side's must be "
-        "signed by. Empty: the other side shows none. Required for peers.",
+        description="Path of the CA certificates that must have signed the "
+        "other side's certificate. Empty: the other side presents none. "
+        "Required for peers.",
     )
 
 
 class Lease(Section):
-    """The leases under which changes of primary are led."""
+    """The leases under which primary changes are carried out."""
 
     duration_ms: int = milliseconds(
-        3_000, 100, 600_000, "Life of a lease without renewal."
+        3_000, 100, 600_000, "Lifetime of a lease without renewal."
     )
-    renew_ms: int = milliseconds(1_000, 10, 600_000, "Interval of renewals.")
+    renew_ms: int = milliseconds(1_000, 10, 600_000, "Renewal interval.")
     margin_ms: int = milliseconds(
         500,
         10,
@@ -149,11 +150,11 @@
 
 
 class Logs(Section):
-    """What is logged to standard error."""
+    """Logging to standard error."""
 
     level: Literal["debug", "info", "warning", "error"] = Field(
         default="info",
-        description="Lowest level that is written. Read again on SIGHUP.",
+        description="Minimum level that is logged. Reloaded on SIGHUP.",
     )
 
 
--- a/bamboospring/tls.py
+++ b/bamboospring/tls.py
@@ -1,6 +1,6 @@
 """TLS over the reactor's streams, with the standard library's `ssl`.
 
-`secured` returns an object with the interface of the reactor whose streams
+`with_tls` returns an object with the interface of the reactor whose streams
 are encrypted, so that the HTTP and peer protocols need no code for TLS. Only
 TLS 1.3 is supported: it has no renegotiation, so a write never has to wait
 for a read.
@@ -35,7 +35,7 @@
 class TlsCredentials:
     """The TLS keys and certificates of one side; they can be reloaded.
 
-    With `check_name`, the server's certificate must contain the IP address
+    With `verify_address`, the server's certificate must contain the IP address
     that the client connects to. Connections between VMs of the system only
     check the certificate authority: VMs are replaced daily, and the authority
     signs only certificates of the system.
