--- a/bamboospring/entry_facts.py
+++ b/bamboospring/entry_facts.py
@@ -113,7 +113,7 @@
             store=self.store,
             membership=membership,
             interval=REPORT_INTERVAL,
-            chance=random_float,
+            random_float=random_float,
         )
 
     @property
