--- a/bamboospring/load.py
+++ b/bamboospring/load.py
@@ -204,7 +204,7 @@
         self._plan = plan
         self._random = random.Random(plan.seed)
         self._idle: deque[_Session] = deque()
-        self._queue: deque[_Arrival] = deque()
+        self._due_requests: deque[_Arrival] = deque()
         self._opening = 0
         self._in_flight = 0
         self._started_at = 0.0
@@ -272,7 +272,7 @@
         now = self._reactor.now()
         end = self._started_at + self._plan.seconds
         while self._next_arrival_at <= now and self._next_arrival_at < end:
-            self._queue.append(
+            self._due_requests.append(
                 _Arrival(at=self._next_arrival_at, kind=self._draw_kind())
             )
             self._next_arrival_at += self._next_interval()
@@ -295,8 +295,8 @@
         return "read"
 
     def _send_queued(self) -> None:
-        while self._queue and self._idle:
-            arrival = self._queue.popleft()
+        while self._due_requests and self._idle:
+            arrival = self._due_requests.popleft()
             session = self._idle.popleft()
             self._in_flight += 1
             if arrival.kind == "transaction":
@@ -390,7 +390,11 @@
         self._in_flight -= 1
         self._idle.append(session)
         self._send_queued()
-        if self._arrivals_ended and self._in_flight == 0 and not self._queue:
+        if (
+            self._arrivals_ended
+            and self._in_flight == 0
+            and not self._due_requests
+        ):
             self._finish()
 
     def _finish(self) -> None:
@@ -398,7 +402,7 @@
             return
         now = self._reactor.now()
         self.result.elapsed = min(now - self._started_at, self._plan.seconds)
-        unsent = len(self._queue) + self._in_flight
+        unsent = len(self._due_requests) + self._in_flight
         if unsent:
             self.result.outcomes[UNSENT] = unsent
         self.root.stop()
