--- a/bamboospring/explain_command.py
+++ b/bamboospring/explain_command.py
@@ -45,11 +45,11 @@
     tool = import_module("bamboospring.explain")
     events = _read_events(files)
     if group:
-        report = tool.story_of_group(events, what)
+        report = tool.describe_group(events, what)
     elif catalog:
-        report = tool.story_of_catalog(events, what)
+        report = tool.describe_catalog(events, what)
     else:
-        report = tool.story_of_request(events, what)
+        report = tool.describe_request(events, what)
     typer.echo("\n".join(report))
     found = not report[0].startswith("No line names")
     raise typer.Exit(cli.ExitCode.DONE if found else cli.ExitCode.NO)
--- a/bamboospring/metrics.py
+++ b/bamboospring/metrics.py
@@ -155,9 +155,9 @@
 class Metrics:
     """All metrics of one process.
 
-    `knows` returns whether a group exists. Without it, a caller could exhaust
-    memory with requests for unknown groups. `slow_after` returns the seconds
-    after which a statement of a group counts as slow.
+    `is_known_group` returns whether a group exists. Without it, a caller could
+    exhaust memory with requests for unknown groups. `slow_threshold` returns
+    the seconds after which a statement of a group counts as slow.
     """
 
     def __init__(
--- a/bamboospring/peer_sync.py
+++ b/bamboospring/peer_sync.py
@@ -121,7 +121,7 @@
         name: str = "",
         on_complete: Callable[[bool], None] | None = None,
     ) -> None:
-        """Ask one address for its versions; report whether it on_answer."""
+        """Ask one address for its versions; report whether it answered."""
 
         def on_answer(answer: Any) -> None:
             if isinstance(answer, PeerLost):
--- a/bamboospring/table_editor.py
+++ b/bamboospring/table_editor.py
@@ -116,8 +116,8 @@
 class TableEditor:
     """Run any number of edits concurrently and report each.
 
-    `reach` takes addresses of targets and calls back with those that do not
-    answer. `on_stored` is called with the name, version and value of each
+    `probe_targets` takes addresses of targets and calls back with those that
+    do not answer. `on_stored` is called with the name, version and value of each
     accepted shard.
     """
 
--- a/features/steps/configuration_support.py
+++ b/features/steps/configuration_support.py
@@ -71,9 +71,9 @@
     """Callers that continuously read, write and run transactions.
 
     Each caller has its own session and changes its entry after every turn.
-    Every answer other than done is added to `failures`. With `hold` only one
-    caller runs transactions, and each stays open for `hold` seconds: a
-    transaction blocks all other writers.
+    Every answer other than done is added to `failures`. With
+    `hold_seconds` only one caller runs transactions, and each stays open for
+    that long: a transaction blocks all other writers.
     """
 
     fleet: Fleet
