--- a/features/steps/exploration_steps.py
+++ b/features/steps/exploration_steps.py
@@ -19,9 +19,9 @@
 
 EXAMPLES = int(os.environ.get("BAMBOOSPRING_EXAMPLES", "100"))
 # Which examples are drawn depends on the constants of all loaded modules. With
-# 4 times as many examples, a change in another module hid a seeded fault. The
-# search ends with the first find, so more examples cost little.
-FAULT_EXAMPLES = 20 * EXAMPLES
+# 4 and with 20 times as many examples, a change in another module hid a seeded
+# fault. The search ends with the first find, so more examples cost little.
+FAULT_EXAMPLES = 60 * EXAMPLES
 
 
 def _found(run: Callable[[], None]) -> str:
