--- a/bamboospring/table_editor.py
+++ b/bamboospring/table_editor.py
@@ -117,8 +117,8 @@
     """Run any number of edits concurrently and report each.
 
     `probe_targets` takes addresses of targets and calls back with those that
-    do not answer. `on_stored` is called with the name, version and value of each
-    accepted shard.
+    do not answer. `on_stored` is called with the name, version and value of
+    each accepted shard.
     """
 
     def __init__(
