--- a/features/steps/session_decisions_steps.py
+++ b/features/steps/session_decisions_steps.py
@@ -366,7 +366,7 @@
         urgency=-1,
         item=load.count,
     )
-    load.take(load.admission.submit(ticket, load.now))
+    load.apply(load.admission.submit(ticket, load.now))
 
 
 @given("at most {limit:d} connections with one opened per {pace:d} ms")
